--- a/packages/pomelobank-core/src/pomelobank_core/__init__.py
+++ b/packages/pomelobank-core/src/pomelobank_core/__init__.py
@@ -21,9 +21,9 @@
         AnswerStore,
     )
     from pomelobank_core._claim_attempts import (
-        Attempt,
-        AttemptState,
-        AttemptStep,
+        ClaimAttempt,
+        ClaimAttemptState,
+        ClaimAttemptStep,
         claim_seen,
         combine_run_states,
         give_up,
@@ -160,15 +160,15 @@
         skip_record,
     )
     from pomelobank_core._retries import (
-        MAX_TRIES,
-        FailedTry,
-        Retries,
+        MAX_ATTEMPTS,
+        FailedAttempt,
         Retry,
+        RetryPolicy,
     )
     from pomelobank_core._retry_budget import (
         Budget,
+        MeshRetryBudget,
         RetryBudget,
-        SharedBudget,
     )
     from pomelobank_core._round_robin import (
         RoundRobin,
@@ -232,7 +232,7 @@
 
 __all__ = [
     "ANSWERS",
-    "MAX_TRIES",
+    "MAX_ATTEMPTS",
     "POINTS_NODE_LOST",
     "POINTS_TARGET_LOST",
     "READERS",
@@ -244,9 +244,6 @@
     "AdmissionPolicy",
     "Answer",
     "AnswerStore",
-    "Attempt",
-    "AttemptState",
-    "AttemptStep",
     "BriefWork",
     "Budget",
     "CallerPatience",
@@ -255,6 +252,9 @@
     "Change",
     "ChangeVerdict",
     "Claim",
+    "ClaimAttempt",
+    "ClaimAttemptState",
+    "ClaimAttemptStep",
     "ClaimBatcher",
     "ClaimEnded",
     "ClaimEvent",
@@ -274,7 +274,7 @@
     "Evidence",
     "ExchangeState",
     "ExchangeTable",
-    "FailedTry",
+    "FailedAttempt",
     "FirstCome",
     "FirstContact",
     "FixedPartition",
@@ -287,6 +287,7 @@
     "ManualClock",
     "MemberState",
     "MemberTable",
+    "MeshRetryBudget",
     "Neighbours",
     "ObjectKey",
     "ObjectKind",
@@ -307,15 +308,14 @@
     "Recovery",
     "Refused",
     "Reply",
-    "Retries",
     "Retry",
     "RetryBudget",
+    "RetryPolicy",
     "RoundRobin",
     "RouteTable",
     "RunState",
     "Send",
     "SendDigest",
-    "SharedBudget",
     "SlotLimit",
     "Snapshot",
     "SnapshotSchedule",
@@ -383,9 +383,9 @@
     ),
     "_claim_answers": ("AnswerStore",),
     "_claim_attempts": (
-        "Attempt",
-        "AttemptState",
-        "AttemptStep",
+        "ClaimAttempt",
+        "ClaimAttemptState",
+        "ClaimAttemptStep",
         "claim_seen",
         "combine_run_states",
         "give_up",
@@ -491,15 +491,15 @@
         "Rank",
         "RankLoad",
     ),
-    "_rendezvous": (
-        "rank_of",
-        "rendezvous_order",
-    ),
     "_reading_order": (
         "READERS",
         "ReadingOrder",
         "ReadingRole",
     ),
+    "_rendezvous": (
+        "rank_of",
+        "rendezvous_order",
+    ),
     "_replay": (
         "ChangeVerdict",
         "ConfigState",
@@ -510,15 +510,15 @@
         "skip_record",
     ),
     "_retries": (
-        "FailedTry",
-        "MAX_TRIES",
-        "Retries",
+        "FailedAttempt",
+        "MAX_ATTEMPTS",
         "Retry",
+        "RetryPolicy",
     ),
     "_retry_budget": (
         "Budget",
+        "MeshRetryBudget",
         "RetryBudget",
-        "SharedBudget",
     ),
     "_round_robin": ("RoundRobin",),
     "_routing": (
@@ -545,7 +545,10 @@
         "snapshot_record",
         "usable_snapshot",
     ),
-    "_stop_order": ("StopOrder", "WORK_RESERVE_FACTOR"),
+    "_stop_order": (
+        "StopOrder",
+        "WORK_RESERVE_FACTOR",
+    ),
     "_swim": (
         "Action",
         "Reply",
--- a/packages/pomelobank-core/src/pomelobank_core/_claim_attempts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claim_attempts.py
@@ -8,7 +8,7 @@
 from pomelobank_core._errors import RunState
 
 
-class AttemptState(enum.Enum):
+class ClaimAttemptState(enum.Enum):
     """How far an attempt has come.
 
     Attributes:
@@ -24,7 +24,7 @@
     ENDED = "ended"
 
 
-class AttemptStep(enum.Enum):
+class ClaimAttemptStep(enum.Enum):
     """What the node has to do next.
 
     Attributes:
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen
-class Attempt:
+class ClaimAttempt:
     """A try to claim a key.
 
     Attributes:
@@ -58,12 +58,12 @@
     claim_id: ClaimId
     key: bytes
     deadline_ms: int
-    state: AttemptState = AttemptState.PENDING
+    state: ClaimAttemptState = ClaimAttemptState.PENDING
 
 
 def claim_seen(
-    attempt: Attempt, won: bool, now_ms: int
-) -> tuple[Attempt, AttemptStep]:
+    attempt: ClaimAttempt, won: bool, now_ms: int
+) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """The claim came by in the stream.
 
     Args:
@@ -74,35 +74,40 @@
     Returns:
         The attempt afterwards and what to do.
     """
-    ended = attrs.evolve(attempt, state=AttemptState.ENDED)
-    if attempt.state is AttemptState.ABANDONED:
+    ended = attrs.evolve(attempt, state=ClaimAttemptState.ENDED)
+    if attempt.state is ClaimAttemptState.ABANDONED:
         # The caller was told that it did not run. The append took effect all
         # the same; unless the claim is released, the caller's next sending
         # would find the key held by a request that never runs.
-        return ended, AttemptStep.RELEASE if won else AttemptStep.NOTHING
-    if attempt.state is not AttemptState.PENDING:
-        return attempt, AttemptStep.NOTHING
+        return (
+            ended,
+            ClaimAttemptStep.RELEASE if won else ClaimAttemptStep.NOTHING,
+        )
+    if attempt.state is not ClaimAttemptState.PENDING:
+        return attempt, ClaimAttemptStep.NOTHING
     if not won:
-        return ended, AttemptStep.LOST
+        return ended, ClaimAttemptStep.LOST
     if now_ms >= attempt.deadline_ms:
         # The node was paused or the log slow: nobody waits for this answer.
-        return ended, AttemptStep.EXPIRED
-    return attrs.evolve(attempt, state=AttemptState.RUNNING), AttemptStep.RUN
+        return ended, ClaimAttemptStep.EXPIRED
+    return attrs.evolve(
+        attempt, state=ClaimAttemptState.RUNNING
+    ), ClaimAttemptStep.RUN
 
 
-def give_up(attempt: Attempt) -> Attempt:
+def give_up(attempt: ClaimAttempt) -> ClaimAttempt:
     """The wait for the claim is over, or the caller has gone.
 
     An attempt that already runs goes on: it cannot be called not run.
     """
-    if attempt.state is not AttemptState.PENDING:
+    if attempt.state is not ClaimAttemptState.PENDING:
         return attempt
-    return attrs.evolve(attempt, state=AttemptState.ABANDONED)
+    return attrs.evolve(attempt, state=ClaimAttemptState.ABANDONED)
 
 
 def run_ended(
-    attempt: Attempt, run_state: RunState
-) -> tuple[Attempt, AttemptStep]:
+    attempt: ClaimAttempt, run_state: RunState
+) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """The request of a running attempt ended.
 
     Args:
@@ -112,12 +117,12 @@
     Returns:
         The attempt afterwards; RELEASE only where it did not run for certain.
     """
-    if attempt.state is not AttemptState.RUNNING:
-        return attempt, AttemptStep.NOTHING
-    ended = attrs.evolve(attempt, state=AttemptState.ENDED)
+    if attempt.state is not ClaimAttemptState.RUNNING:
+        return attempt, ClaimAttemptStep.NOTHING
+    ended = attrs.evolve(attempt, state=ClaimAttemptState.ENDED)
     if run_state is RunState.NOT_RUN:
-        return ended, AttemptStep.RELEASE
-    return ended, AttemptStep.COMPLETE
+        return ended, ClaimAttemptStep.RELEASE
+    return ended, ClaimAttemptStep.COMPLETE
 
 
 def combine_run_states(first: RunState, second: RunState) -> RunState:
--- a/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
@@ -121,7 +121,7 @@
 
     def _take_in(self, ticket: Ticket, now_ms: float) -> None:
         rank = self._shared_rank(ticket, now_ms)
-        self.taken.add(rank, self.usual_ms(ticket, now_ms), now_ms)
+        self.taken.add(rank, self.expected_ms(ticket, now_ms), now_ms)
 
     def _shared_rank(self, ticket: Ticket, now_ms: float) -> Rank:
         return Rank(ticket.priority, self._is_late(ticket, now_ms))
@@ -129,7 +129,7 @@
     def _can_be_in_time(
         self, ticket: Ticket, wait_ms: float, now_ms: float
     ) -> bool:
-        needed_ms = wait_ms + SAFE_PART * self.usual_ms(ticket, now_ms)
+        needed_ms = wait_ms + SAFE_PART * self.expected_ms(ticket, now_ms)
         return now_ms + needed_ms <= ticket.aim_at_ms
 
     def _would_give_up(
@@ -146,7 +146,7 @@
             item.priority <= ticket.priority and self._is_late(item, now_ms)
             for item in self.queue
         )
-        room_ms = ticket.deadline_ms - now_ms - self.usual_ms(ticket, now_ms)
+        room_ms = ticket.deadline_ms - now_ms - self.expected_ms(ticket, now_ms)
         return late < self._may_be_late() and wait_ms <= WAIT_PART * room_ms
 
     def _return_ms(self, ticket: Ticket, now_ms: float) -> float:
@@ -155,7 +155,7 @@
         late = (ticket.priority, True, math.inf)
         return min(self._wait_ms(ticket, late, now_ms), LONGEST_FORECAST_MS)
 
-    def usual_ms(self, ticket: Ticket, now_ms: float) -> float:
+    def expected_ms(self, ticket: Ticket, now_ms: float) -> float:
         """Returns the time that a request usually takes, as known now."""
         return self.times.of(ticket.route, now_ms)
 
@@ -175,7 +175,7 @@
         is late, when it came or since, waits for what a burst leaves over,
         which is soon there or not at all.
         """
-        usual_ms = self.usual_ms(ticket, ticket.offered_ms)
+        usual_ms = self.expected_ms(ticket, ticket.offered_ms)
         latest_ms = ticket.deadline_ms - usual_ms / 2
         if ticket.brief:
             return latest_ms
@@ -195,7 +195,7 @@
         self, ticket: Ticket, own: tuple[int, bool, float], now_ms: float
     ) -> float:
         ahead_ms = sum(
-            self.usual_ms(item, now_ms)
+            self.expected_ms(item, now_ms)
             for item in self.queue
             if self._rank(item, now_ms) <= own
         )
@@ -224,7 +224,7 @@
             return ticket.priority, False, -math.inf
         if self._is_late(ticket, now_ms):
             return ticket.priority, True, ticket.deadline_ms
-        spare_ms = ticket.aim_at_ms - now_ms - self.usual_ms(ticket, now_ms)
+        spare_ms = ticket.aim_at_ms - now_ms - self.expected_ms(ticket, now_ms)
         return ticket.priority, False, spare_ms
 
     def _is_late(self, ticket: Ticket, now_ms: float) -> bool:
@@ -232,10 +232,10 @@
             return False
         if ticket.late:
             return True
-        return ticket.aim_at_ms - now_ms < self.usual_ms(ticket, now_ms)
+        return ticket.aim_at_ms - now_ms < self.expected_ms(ticket, now_ms)
 
     def _left_ms(self, ticket: Ticket, now_ms: float) -> float:
-        usual_ms = self.usual_ms(ticket, now_ms)
+        usual_ms = self.expected_ms(ticket, now_ms)
         taken_ms = now_ms - (ticket.started_ms or now_ms)
         return max(usual_ms - taken_ms, LEAST_LEFT * usual_ms)
 
@@ -298,7 +298,7 @@
             if self._would_give_up(ticket, wait_ms, now_ms):
                 giving_up.append(ticket)
             else:
-                queue_wait_ms += self.usual_ms(ticket, now_ms) / slots
+                queue_wait_ms += self.expected_ms(ticket, now_ms) / slots
         return giving_up
 
     def _surplus_late(self, now_ms: float) -> list[Ticket]:
--- a/packages/pomelobank-core/src/pomelobank_core/_first_contact.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_first_contact.py
@@ -46,14 +46,14 @@
 
     Attributes:
         random: Source of randomness.
-        tries: How often each address was tried.
+        attempts: How often each address was tried.
         newest_at_ms: When the newest record that was read was written.
         newest: Addresses that the newest record names.
         skipped_records: Records that could not be read, for the metrics.
     """
 
     random: random.Random
-    tries: dict[str, int] = attrs.field(factory=dict)
+    attempts: dict[str, int] = attrs.field(factory=dict)
     newest_at_ms: int = 0
     newest: frozenset[str] = frozenset()
     skipped_records: int = 0
@@ -61,9 +61,9 @@
     def add(self, addresses: Iterable[str]) -> None:
         """Takes addresses from the settings."""
         for address in addresses:
-            self.tries.setdefault(address, 0)
-        while len(self.tries) > _ADDRESS_LIMIT:
-            del self.tries[next(iter(self.tries))]
+            self.attempts.setdefault(address, 0)
+        while len(self.attempts) > _ADDRESS_LIMIT:
+            del self.attempts[next(iter(self.attempts))]
 
     def take_records(self, records: Iterable[bytes]) -> None:
         """Takes records from the end of the stream, in their order."""
@@ -95,12 +95,12 @@
         """Returns the addresses to try next, those tried least often first."""
         ranked = sorted(
             (tries, self.random.random(), address)
-            for address, tries in self.tries.items()
+            for address, tries in self.attempts.items()
             if address != own_address
         )
         chosen = [address for _, _, address in ranked[:TRIES_AT_ONCE]]
         for address in chosen:
-            self.tries[address] += 1
+            self.attempts[address] += 1
         return chosen
 
     def strangers(self, known: Collection[str]) -> list[str]:
@@ -114,19 +114,19 @@
         """
         chosen = [
             address
-            for address, tries in self.tries.items()
+            for address, tries in self.attempts.items()
             if address not in known
             and self.random.random() < 0.5 ** min(tries, _MAX_HALVINGS)
         ]
         for address in chosen:
-            self.tries[address] += 1
+            self.attempts[address] += 1
         return chosen[:TRIES_AT_ONCE]
 
-    def untried(self, own_address: str) -> bool:
+    def has_unattempted(self, own_address: str) -> bool:
         """Tells whether an address was never tried."""
         return any(
             not tries
-            for address, tries in self.tries.items()
+            for address, tries in self.attempts.items()
             if address != own_address
         )
 
--- a/packages/pomelobank-core/src/pomelobank_core/_gossip_queue.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_gossip_queue.py
@@ -70,12 +70,12 @@
             The own entry, `first` and news.
         """
         members = [table.own, *first]
-        room = limit_bytes - sum(entry_size(entry) for entry in members)
+        room = limit_bytes - sum(entry_size_bytes(entry) for entry in members)
         rounds = spread_rounds(len(table.others) + 1)
         skip = {entry.node for entry in members}
         for node in self._ordered(self.entries, skip):
             entry = table.others.get(node)
-            size = 0 if entry is None else entry_size(entry)
+            size = 0 if entry is None else entry_size_bytes(entry)
             if size > room:
                 break
             _count(self.entries, node, _ENTRY_FACTOR * rounds)
@@ -125,7 +125,7 @@
     return max(1, (members - 1).bit_length())
 
 
-def entry_size(entry: MemberEntry) -> int:
+def entry_size_bytes(entry: MemberEntry) -> int:
     """Returns an upper bound of an entry's size in bytes."""
     texts = (
         entry.node,
--- a/packages/pomelobank-core/src/pomelobank_core/_hedging.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_hedging.py
@@ -34,7 +34,7 @@
         """Takes the time that an answer took."""
         self.usual.add(route, took_ms, now_ms)
 
-    def after_ms(
+    def delay_ms(
         self, route: str, left_ms: float, now_ms: float
     ) -> float | None:
         """Returns how long to wait before a request is sent again.
--- a/packages/pomelobank-core/src/pomelobank_core/_members.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_members.py
@@ -230,7 +230,7 @@
         while len(self.forgotten) > FORGOTTEN_LIMIT:
             self.forgotten.pop(next(iter(self.forgotten)))
 
-    def claim_about(self, node: str) -> MemberEntry | None:
+    def known_entry(self, node: str) -> MemberEntry | None:
         """Returns what is held of a node, also where it was forgotten."""
         entry = self.others.get(node)
         rank = self.forgotten.get(node)
--- a/packages/pomelobank-core/src/pomelobank_core/_retries.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_retries.py
@@ -11,11 +11,11 @@
 
 # Tries of one request, the first included. Three reach past one dead target
 # and one that dies meanwhile; more only add load when most are dead.
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 # Two targets drawn by their load that are both full mean a full upstream.
 MAX_LOAD_TRIES = 2
 # Tries that were turned away before they cost a target anything.
-MAX_REDIRECTS = 4
+MAX_TRANSPARENT_RETRIES = 4
 # The shortest pause lets the news of a crash arrive before the next try.
 MIN_DELAY_MS = 10.0
 FIRST_DELAY_MS = 40.0
@@ -27,22 +27,23 @@
 
     Attributes:
         NEVER: Another try cannot help or is not allowed.
-        REDIRECT: Nothing yet: the target's node was not reached or is leaving.
+        TRANSPARENT: Nothing yet: the target's node was not reached or is
+            leaving.
         NOT_RUN: The request did not run and costs its work once.
         IDEMPOTENT: It may run again; allowed for idempotent work only.
     """
 
     NEVER = "never"
-    REDIRECT = "redirect"
+    TRANSPARENT = "redirect"
     NOT_RUN = "not-run"
     IDEMPOTENT = "idempotent"
 
 
 RETRY_COSTS: dict[ErrorKind, RetryCost] = {
-    ErrorKind.DRAINING: RetryCost.REDIRECT,
-    ErrorKind.PEER_UNREACHABLE: RetryCost.REDIRECT,
-    ErrorKind.NO_TARGET: RetryCost.REDIRECT,
-    ErrorKind.NOT_READY: RetryCost.REDIRECT,
+    ErrorKind.DRAINING: RetryCost.TRANSPARENT,
+    ErrorKind.PEER_UNREACHABLE: RetryCost.TRANSPARENT,
+    ErrorKind.NO_TARGET: RetryCost.TRANSPARENT,
+    ErrorKind.NOT_READY: RetryCost.TRANSPARENT,
     ErrorKind.UPSTREAM_UNREACHABLE: RetryCost.NOT_RUN,
     ErrorKind.OVERLOADED: RetryCost.NOT_RUN,
     ErrorKind.TARGET_REFUSED: RetryCost.NOT_RUN,
@@ -58,30 +59,31 @@
 
 
 @attrs.frozen
-class FailedTry:
+class FailedAttempt:
     """A try that has failed.
 
     Attributes:
         error: How; None where the target shed the request with an answer.
         idempotent: Whether the request may run more than once.
-        tries: Tries so far.
-        redirects: How many of them cost the upstream nothing.
-        left_ms: Time to the caller's deadline.
-        usual_ms: Time that an answer usually takes.
+        attempts: Tries so far.
+        transparent_retries: How many of them cost the upstream nothing.
+        remaining_ms: Time to the caller's deadline.
+        expected_ms: Time that an answer usually takes.
         is_retry: Whether the request came in as part of another's retry.
-        other_room: Whether a target that was not tried plausibly has room.
-        max_tries: Most tries, the first included.
+        other_has_capacity: Whether a target that was not tried plausibly has
+            room.
+        max_attempts: Most tries, the first included.
     """
 
     error: ErrorKind | None
     idempotent: bool
-    tries: int
-    redirects: int
-    left_ms: float
-    usual_ms: float = 0.0
+    attempts: int
+    transparent_retries: int
+    remaining_ms: float
+    expected_ms: float = 0.0
     is_retry: bool = False
-    other_room: bool = True
-    max_tries: int = MAX_TRIES
+    other_has_capacity: bool = True
+    max_attempts: int = MAX_ATTEMPTS
 
 
 @attrs.frozen
@@ -89,12 +91,12 @@
     """The request is sent to another target.
 
     Attributes:
-        after_ms: Pause before that.
-        redirect: Whether the failed try cost the upstream nothing.
+        delay_ms: Pause before that.
+        transparent: Whether the failed try cost the upstream nothing.
     """
 
-    after_ms: float
-    redirect: bool
+    delay_ms: float
+    transparent: bool
 
 
 def retry_cost(error: ErrorKind | None) -> RetryCost:
@@ -109,7 +111,7 @@
 
 
 @attrs.define(eq=False)
-class Retries:
+class RetryPolicy:
     """Decides about retries; one budget for each upstream.
 
     Only the node nearest to a failure retries. What comes back from a target
@@ -120,26 +122,26 @@
     Attributes:
         seeded: Source of randomness.
         new_budget: Makes the budget of an upstream.
-        free_refusals: Whether a try that the target's node refused costs
+        free_rejections: Whether a try that the target's node refused costs
             nothing, because the budget bounds what targets themselves see.
         budgets: Budgets by upstream.
     """
 
     seeded: random.Random = attrs.field(factory=random.Random)
     new_budget: Callable[[], Budget] = RetryBudget
-    free_refusals: bool = False
+    free_rejections: bool = False
     budgets: dict[str, Budget] = attrs.field(factory=dict)
 
-    def first_try(self, upstream: str, now_ms: float) -> None:
+    def on_first_attempt(self, upstream: str, now_ms: float) -> None:
         """Takes a request's first try."""
-        self._budget(upstream).first_try(now_ms)
+        self._budget(upstream).on_first_attempt(now_ms)
 
-    def hedge(self, upstream: str, now_ms: float) -> bool:
+    def allow_hedge(self, upstream: str, now_ms: float) -> bool:
         """Takes one try out of the budget without a failed one before it."""
-        return self._budget(upstream).take(now_ms)
+        return self._budget(upstream).try_acquire(now_ms)
 
     def decide(
-        self, upstream: str, attempt: FailedTry, now_ms: float
+        self, upstream: str, attempt: FailedAttempt, now_ms: float
     ) -> Retry | None:
         """Decides about a failed try.
 
@@ -155,28 +157,31 @@
         if not self._may(cost, attempt):
             return None
         after_ms = self._delay_ms(cost, attempt)
-        if after_ms + attempt.usual_ms >= attempt.left_ms:
+        if after_ms + attempt.expected_ms >= attempt.remaining_ms:
             return None
-        if cost is RetryCost.REDIRECT:
-            return Retry(after_ms, redirect=True)
-        if not self._budget(upstream).take(now_ms):
+        if cost is RetryCost.TRANSPARENT:
+            return Retry(after_ms, transparent=True)
+        if not self._budget(upstream).try_acquire(now_ms):
             return None
-        return Retry(after_ms, redirect=False)
+        return Retry(after_ms, transparent=False)
 
     def _cost(self, error: ErrorKind | None) -> RetryCost:
-        if error is ErrorKind.OVERLOADED and self.free_refusals:
-            return RetryCost.REDIRECT
+        if error is ErrorKind.OVERLOADED and self.free_rejections:
+            return RetryCost.TRANSPARENT
         return retry_cost(error)
 
-    def _may(self, cost: RetryCost, attempt: FailedTry) -> bool:
+    def _may(self, cost: RetryCost, attempt: FailedAttempt) -> bool:
         if cost is RetryCost.NEVER:
             return False
-        if cost is RetryCost.REDIRECT:
+        if cost is RetryCost.TRANSPARENT:
             if attempt.error is ErrorKind.OVERLOADED:
-                return attempt.other_room and attempt.redirects < MAX_LOAD_TRIES
-            return attempt.redirects < MAX_REDIRECTS
-        sent = attempt.tries - attempt.redirects
-        if attempt.is_retry or sent >= attempt.max_tries:
+                return (
+                    attempt.other_has_capacity
+                    and attempt.transparent_retries < MAX_LOAD_TRIES
+                )
+            return attempt.transparent_retries < MAX_TRANSPARENT_RETRIES
+        sent = attempt.attempts - attempt.transparent_retries
+        if attempt.is_retry or sent >= attempt.max_attempts:
             return False
         if cost is RetryCost.IDEMPOTENT and not attempt.idempotent:
             return False
@@ -184,19 +189,19 @@
         is_load = attempt.error in _LOAD_ERRORS
         if is_load and sent >= MAX_LOAD_TRIES:
             return False
-        return attempt.other_room or not is_load
+        return attempt.other_has_capacity or not is_load
 
-    def _delay_ms(self, cost: RetryCost, attempt: FailedTry) -> float:
+    def _delay_ms(self, cost: RetryCost, attempt: FailedAttempt) -> float:
         # Nodes that lost the same target at the same moment would all come to
         # the next one together; a delay of any length up to the bound spreads
         # them (full jitter).
-        if cost is RetryCost.REDIRECT and attempt.redirects <= 1:
+        if cost is RetryCost.TRANSPARENT and attempt.transparent_retries <= 1:
             return 0.0
         if attempt.error in (ErrorKind.OVERLOADED, ErrorKind.TARGET_REFUSED):
             # Another target has room now or not; waiting would only make a
             # refusal late.
             return 0.0
-        bound_ms = FIRST_DELAY_MS * 2 ** (attempt.tries - 1)
+        bound_ms = FIRST_DELAY_MS * 2 ** (attempt.attempts - 1)
         bound_ms = min(MAX_DELAY_MS, bound_ms)
         return MIN_DELAY_MS + self.seeded.uniform(0.0, bound_ms)
 
--- a/packages/pomelobank-core/src/pomelobank_core/_retry_budget.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_retry_budget.py
@@ -33,10 +33,10 @@
     spent: int
     denied: int
 
-    def first_try(self, now_ms: float) -> None:
+    def on_first_attempt(self, now_ms: float) -> None:
         """Takes a request's first try."""
 
-    def take(self, now_ms: float) -> bool:
+    def try_acquire(self, now_ms: float) -> bool:
         """Takes one try out; returns whether there was one."""
 
 
@@ -60,12 +60,12 @@
     spent: int = 0
     denied: int = 0
 
-    def first_try(self, now_ms: float) -> None:
+    def on_first_attempt(self, now_ms: float) -> None:
         """Takes a request's first try."""
         self._refill(now_ms)
         self.tokens = min(BUDGET_MOST, self.tokens + BUDGET_RATIO)
 
-    def take(self, now_ms: float) -> bool:
+    def try_acquire(self, now_ms: float) -> bool:
         """Takes one try out; returns whether there was one."""
         self._refill(now_ms)
         if self.tokens < 1.0:
@@ -99,7 +99,7 @@
 
 
 @attrs.define
-class SharedBudget:
+class MeshRetryBudget:
     """One node's part of an allowance that holds for the whole mesh.
 
     Made for operators who bound, for any span of some seconds, the tries that
@@ -127,11 +127,11 @@
     spent: int = 0
     denied: int = 0
 
-    def first_try(self, now_ms: float) -> None:
+    def on_first_attempt(self, now_ms: float) -> None:
         """Takes a request's first try."""
         self._bucket(now_ms).first += 1
 
-    def take(self, now_ms: float) -> bool:
+    def try_acquire(self, now_ms: float) -> bool:
         """Takes one try out; returns whether there was one."""
         bucket = self._bucket(now_ms)
         spent = sum(item.spent for item in self.buckets)
--- a/packages/pomelobank-core/src/pomelobank_core/_swim.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim.py
@@ -214,7 +214,7 @@
         Args:
             node: The receiver, which has to learn what is held against it.
         """
-        entry = self.table.claim_about(node)
+        entry = self.table.known_entry(node)
         doubted = entry is not None and entry.state in (
             MemberState.SUSPECT.value,
             MemberState.GONE.value,
@@ -388,7 +388,7 @@
         changes, self.changes = self.changes, []
         return changes
 
-    def own_changed(self) -> list[Action]:
+    def gossip_own_entry(self) -> list[Action]:
         """Tells a member of each data centre of a change of the own entry."""
         self.queue.add(self.table.own.node)
         return [
@@ -404,7 +404,7 @@
         }
         return list(chosen.values())
 
-    def tell_all(self) -> list[Action]:
+    def broadcast_own_entry(self) -> list[Action]:
         """Tells every member of the own entry, as when it starts to drain.
 
         Gossip reaches the last of 1,000 members after several seconds; until
--- a/packages/pomelobank-core/src/pomelobank_core/_swim_frames.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim_frames.py
@@ -2,7 +2,7 @@
 
 import functools
 
-from pomelobank_core._gossip_queue import entry_size, version_size
+from pomelobank_core._gossip_queue import entry_size_bytes, version_size
 from pomelobank_core._member_digest import TableDigest, differing
 from pomelobank_core._swim import Action, Reply, Send, Swim
 from pomelobank_schema import WireMessage
@@ -92,10 +92,10 @@
     others = set(versions) - set(entries)
     different = swim.entries_in(set(entries))
     moved = swim.versions_in(others)
-    size = sum(map(entry_size, different)) + sum(map(version_size, moved))
+    size = sum(map(entry_size_bytes, different)) + sum(map(version_size, moved))
     if size and not swim.may_sync(size, now_ms):
         return [Reply(SyncReply(gossip=_referrals(swim, sender)))]
-    claim = swim.table.claim_about(sender)
+    claim = swim.table.known_entry(sender)
     members = (swim.table.own, *different)
     if claim is not None:
         members += (claim,)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
@@ -10,12 +10,12 @@
     Change,
     ConcurrencyLimit,
     ErrorKind,
-    FailedTry,
+    FailedAttempt,
     MemberTable,
     Observation,
     Placing,
     Refused,
-    Retries,
+    RetryPolicy,
     RoundRobin,
     Started,
     TargetResult,
@@ -78,7 +78,7 @@
 
     index: CandidateIndex
     placing: Placing
-    retries: Retries
+    retries: RetryPolicy
 
 
 class Fleet:
@@ -98,7 +98,7 @@
         self.runs: dict[int, int] = {}
         self.retrying = retrying
         self.aim_ms = aim_ms
-        self.tries = 0
+        self.attempts = 0
         self.targets = {item.node: _target(item) for item in members}
         self.entries = []
         for number in range(entries):
@@ -112,7 +112,7 @@
                 FleetEntry(
                     CandidateIndex(table),
                     placing,
-                    Retries(random.Random(number)),
+                    RetryPolicy(random.Random(number)),
                 )
             )
 
@@ -157,7 +157,7 @@
         return found
 
     def _first(self, call: Call, entry: FleetEntry) -> None:
-        entry.retries.first_try(UPSTREAM, self.events.now_ms)
+        entry.retries.on_first_attempt(UPSTREAM, self.events.now_ms)
         self._try(call, entry, set())
 
     def _try(self, call: Call, entry: FleetEntry, tried: set[str]) -> None:
@@ -171,7 +171,7 @@
         if chosen is None:
             self._end(call, ErrorKind.NO_TARGET.value)
             return
-        self.tries += 1
+        self.attempts += 1
         tried.add(chosen.node)
         entry.placing.sent(chosen, now_ms)
         target = self.targets[chosen.node]
@@ -269,13 +269,13 @@
         other = entry.placing.place(
             entry.index.of(UPSTREAM), visit.tried, CLASS, now_ms
         )
-        attempt = FailedTry(
+        attempt = FailedAttempt(
             error=error,
             idempotent=True,
-            tries=len(visit.tried),
-            redirects=0,
-            left_ms=visit.call.at_ms + visit.call.timeout_ms - now_ms,
-            other_room=other is not None
+            attempts=len(visit.tried),
+            transparent_retries=0,
+            remaining_ms=visit.call.at_ms + visit.call.timeout_ms - now_ms,
+            other_has_capacity=other is not None
             and entry.placing.has_room(other, CLASS, now_ms),
         )
         retry = entry.retries.decide(UPSTREAM, attempt, now_ms)
@@ -283,7 +283,7 @@
             self._end(visit.call, error.value)
             return
         self.events.at(
-            now_ms + retry.after_ms,
+            now_ms + retry.delay_ms,
             lambda: self._try(visit.call, entry, visit.tried),
         )
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_model.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_model.py
@@ -18,10 +18,10 @@
 from minicheck import Protocol, check_safety
 
 from pomelobank_core import (
-    Attempt,
-    AttemptState,
-    AttemptStep,
     Claim,
+    ClaimAttempt,
+    ClaimAttemptState,
+    ClaimAttemptStep,
     ClaimEvent,
     ClaimId,
     ClaimSeen,
@@ -76,10 +76,10 @@
 
     writer: str
     read: int = 0
-    attempts: tuple[tuple[int, Attempt], ...] = ()
+    attempts: tuple[tuple[int, ClaimAttempt], ...] = ()
     released: frozenset[ClaimId] = frozenset()
 
-    def with_attempt(self, sending: int, attempt: Attempt) -> "Node":
+    def with_attempt(self, sending: int, attempt: ClaimAttempt) -> "Node":
         others = [
             item
             for item in self.attempts
@@ -139,9 +139,9 @@
     """The functions that the nodes act by; a mutation replaces one."""
 
     table: type[ClaimTable] = ClaimTable
-    seen: Callable[..., tuple[Attempt, AttemptStep]] = claim_seen
-    give_up: Callable[[Attempt], Attempt] = give_up
-    ended: Callable[..., tuple[Attempt, AttemptStep]] = run_ended
+    seen: Callable[..., tuple[ClaimAttempt, ClaimAttemptStep]] = claim_seen
+    give_up: Callable[[ClaimAttempt], ClaimAttempt] = give_up
+    ended: Callable[..., tuple[ClaimAttempt, ClaimAttemptStep]] = run_ended
     combine: Callable[[RunState, RunState], RunState] = combine_run_states
     reads_back: bool = True
     appends_again: bool = False
@@ -257,7 +257,7 @@
         self, world: World, index: int, sending: int
     ) -> Iterator[_Step]:
         node = world.nodes[index]
-        under_way = (AttemptState.PENDING, AttemptState.RUNNING)
+        under_way = (ClaimAttemptState.PENDING, ClaimAttemptState.RUNNING)
         label = f"node {index} serves {sending}"
         claim, _ = self.replayed(world.log[: node.read])
         if any(item.state in under_way for _, item in node.attempts):
@@ -269,14 +269,16 @@
             yield label, world.reply(index, sending, result)
         else:
             number = len(node.attempts) + 1
-            attempt = Attempt(ClaimId(node.writer, number), KEY, DEADLINE_MS)
+            attempt = ClaimAttempt(
+                ClaimId(node.writer, number), KEY, DEADLINE_MS
+            )
             if not self.rules.reads_back:
-                attempt = attrs.evolve(attempt, state=AttemptState.RUNNING)
+                attempt = attrs.evolve(attempt, state=ClaimAttemptState.RUNNING)
             after = world.node(index, node.with_attempt(sending, attempt))
             yield label, after.append(Record(node.writer, number, "claim"))
 
     def attempt_steps(
-        self, world: World, index: int, sending: int, attempt: Attempt
+        self, world: World, index: int, sending: int, attempt: ClaimAttempt
     ) -> Iterator[_Step]:
         node = world.nodes[index]
         given_up = self.rules.give_up(attempt)
@@ -285,9 +287,12 @@
             after = after.reply(index, sending, RunState.NOT_RUN)
             yield f"node {index} gives {sending} up", after
         record = Record(node.writer, attempt.claim_id.number, "claim")
-        if self.rules.appends_again and attempt.state is AttemptState.PENDING:
+        if (
+            self.rules.appends_again
+            and attempt.state is ClaimAttemptState.PENDING
+        ):
             yield f"node {index} appends again", world.append(record)
-        if attempt.state is AttemptState.RUNNING:
+        if attempt.state is ClaimAttemptState.RUNNING:
             # To the rules an answer is one more outcome that may have run.
             for result in (RunState.NOT_RUN, RunState.UNKNOWN):
                 label = f"node {index} runs {sending}: {result.value}"
@@ -298,7 +303,7 @@
         world: World,
         index: int,
         sending: int,
-        attempt: Attempt,
+        attempt: ClaimAttempt,
         result: RunState,
     ) -> World:
         node = world.nodes[index]
@@ -309,7 +314,7 @@
         ended, step = self.rules.ended(attempt, result)
         node = node.with_attempt(sending, ended)
         kind = "lost"
-        if step is AttemptStep.RELEASE:
+        if step is ClaimAttemptStep.RELEASE:
             kind = "release"
             released = node.released | {attempt.claim_id}
             node = attrs.evolve(node, released=released)
@@ -346,19 +351,19 @@
         world: World,
         index: int,
         sending: int,
-        attempt: Attempt,
-        step: AttemptStep,
+        attempt: ClaimAttempt,
+        step: ClaimAttemptStep,
     ) -> World:
         node = world.nodes[index].with_attempt(sending, attempt)
-        if step in (AttemptStep.RELEASE, AttemptStep.EXPIRED):
+        if step in (ClaimAttemptStep.RELEASE, ClaimAttemptStep.EXPIRED):
             released = node.released | {attempt.claim_id}
             node = attrs.evolve(node, released=released)
             number = attempt.claim_id.number
             world = world.append(Record(node.writer, number, "release"))
         world = world.node(index, node)
-        if step is AttemptStep.EXPIRED:
+        if step is ClaimAttemptStep.EXPIRED:
             world = world.reply(index, sending, RunState.NOT_RUN)
-        if step is AttemptStep.LOST:
+        if step is ClaimAttemptStep.LOST:
             # The other claim's outcome; unknown covers every case of it.
             world = world.reply(index, sending, RunState.UNKNOWN)
         return world
@@ -387,7 +392,8 @@
             node.read == len(world.log) for node in world.nodes
         )
         busy = any(
-            attempt.state in (AttemptState.PENDING, AttemptState.RUNNING)
+            attempt.state
+            in (ClaimAttemptState.PENDING, ClaimAttemptState.RUNNING)
             for node in world.nodes
             for _, attempt in node.attempts
         )
@@ -441,52 +447,52 @@
 
 
 def abandoned_runs(
-    attempt: Attempt, won: bool, now_ms: int
-) -> tuple[Attempt, AttemptStep]:
+    attempt: ClaimAttempt, won: bool, now_ms: int
+) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """Mutation: a claim that was given up runs when it shows up."""
-    if attempt.state is AttemptState.ABANDONED:
-        attempt = attrs.evolve(attempt, state=AttemptState.PENDING)
+    if attempt.state is ClaimAttemptState.ABANDONED:
+        attempt = attrs.evolve(attempt, state=ClaimAttemptState.PENDING)
     return claim_seen(attempt, won, now_ms)
 
 
 def abandoned_stays(
-    attempt: Attempt, won: bool, now_ms: int
-) -> tuple[Attempt, AttemptStep]:
+    attempt: ClaimAttempt, won: bool, now_ms: int
+) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """Mutation: a claim that was given up is not released."""
     seen, step = claim_seen(attempt, won, now_ms)
-    if attempt.state is AttemptState.ABANDONED:
-        step = AttemptStep.NOTHING
+    if attempt.state is ClaimAttemptState.ABANDONED:
+        step = ClaimAttemptStep.NOTHING
     return seen, step
 
 
 def lost_runs(
-    attempt: Attempt, won: bool, now_ms: int
-) -> tuple[Attempt, AttemptStep]:
+    attempt: ClaimAttempt, won: bool, now_ms: int
+) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """Mutation: the claim runs whether it holds the key or not."""
     return claim_seen(attempt, True, now_ms)
 
 
-def running_gives_up(attempt: Attempt) -> Attempt:
+def running_gives_up(attempt: ClaimAttempt) -> ClaimAttempt:
     """Mutation: a request that may be at a target is called not run."""
-    if attempt.state is AttemptState.RUNNING:
+    if attempt.state is ClaimAttemptState.RUNNING:
         return attrs.evolve(attempt, deadline_ms=2 * DEADLINE_MS)
     return give_up(attempt)
 
 
 def unknown_releases(
-    attempt: Attempt, run_state: RunState
-) -> tuple[Attempt, AttemptStep]:
+    attempt: ClaimAttempt, run_state: RunState
+) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """Mutation: a request whose answer was lost frees its key."""
     ended, _ = run_ended(attempt, run_state)
-    return ended, AttemptStep.RELEASE
+    return ended, ClaimAttemptStep.RELEASE
 
 
 def not_run_stays(
-    attempt: Attempt, run_state: RunState
-) -> tuple[Attempt, AttemptStep]:
+    attempt: ClaimAttempt, run_state: RunState
+) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """Mutation: a request that did not run keeps its key."""
     ended, _ = run_ended(attempt, run_state)
-    return ended, AttemptStep.COMPLETE
+    return ended, ClaimAttemptStep.COMPLETE
 
 
 def second_counts(first: RunState, second: RunState) -> RunState:
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_first_contact.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_first_contact.py
@@ -55,7 +55,7 @@
     contact = finder()
     single = AnnounceRecord(node="a", peer_address=address(9), at_ms=1)
     contact.take_records([encode(single), contacts(2)])
-    assert set(contact.tries) == {address(9), address(0), address(1)}
+    assert set(contact.attempts) == {address(9), address(0), address(1)}
     assert contact.newest == {address(0), address(1)}
     assert contact.skipped_records == 0
 
@@ -78,7 +78,7 @@
     contact = finder()
     contact.take_records([record, contacts(1)])
     assert contact.skipped_records == 1
-    assert set(contact.tries) == {address(0)}
+    assert set(contact.attempts) == {address(0)}
 
 
 @given(st.lists(st.binary(max_size=64), max_size=8))
@@ -92,7 +92,7 @@
     contact = finder()
     contact.add([OWN, *(address(index) for index in range(7))])
     tried = set()
-    while contact.untried(OWN):
+    while contact.has_unattempted(OWN):
         tried.update(contact.next_addresses(OWN))
     assert tried == {address(index) for index in range(7)}
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_placing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_placing.py
@@ -109,7 +109,7 @@
     assert quantile(outcomes["overloaded"], 0.99) <= 2 + 300
     assert quantile(outcomes["overloaded"], 0.5) <= 10
     assert max(fleet.runs.values()) == 1
-    assert fleet.tries <= 1.02 * len(fleet.calls)
+    assert fleet.attempts <= 1.02 * len(fleet.calls)
 
 
 def test_own_data_centre_first_then_spill() -> None:
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_retries.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_retries.py
@@ -7,17 +7,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pomelobank_core import ErrorKind, FailedTry, Retries, RetryBudget
-from pomelobank_core._retries import MAX_REDIRECTS, MAX_TRIES
+from pomelobank_core import ErrorKind, FailedAttempt, RetryBudget, RetryPolicy
+from pomelobank_core._retries import MAX_ATTEMPTS, MAX_TRANSPARENT_RETRIES
 from pomelobank_core._retry_budget import BUDGET_MOST
 from pomelobank_core.tests.fleet_support import Fleet, member
 
-FAILED = FailedTry(
+FAILED = FailedAttempt(
     error=ErrorKind.UPSTREAM_UNREACHABLE,
     idempotent=False,
-    tries=1,
-    redirects=0,
-    left_ms=1000,
+    attempts=1,
+    transparent_retries=0,
+    remaining_ms=1000,
 )
 
 
@@ -37,7 +37,7 @@
         ),
         pytest.param({"error": ErrorKind.OVERLOADED}, True, id="other_room"),
         pytest.param(
-            {"error": ErrorKind.OVERLOADED, "other_room": False},
+            {"error": ErrorKind.OVERLOADED, "other_has_capacity": False},
             False,
             id="all_full",
         ),
@@ -47,16 +47,23 @@
         ),
         pytest.param({"error": ErrorKind.CLAIM_UNAVAILABLE}, False, id="claim"),
         pytest.param({"is_retry": True}, False, id="part_of_a_retry"),
-        pytest.param({"tries": MAX_TRIES}, False, id="tries_used_up"),
-        pytest.param({"left_ms": 5}, False, id="no_time_left"),
-        pytest.param({"usual_ms": 999}, False, id="would_end_too_late"),
+        pytest.param({"attempts": MAX_ATTEMPTS}, False, id="tries_used_up"),
+        pytest.param({"remaining_ms": 5}, False, id="no_time_left"),
+        pytest.param({"expected_ms": 999}, False, id="would_end_too_late"),
         pytest.param(
-            {"error": ErrorKind.DRAINING, "redirects": 1, "is_retry": True},
+            {
+                "error": ErrorKind.DRAINING,
+                "transparent_retries": 1,
+                "is_retry": True,
+            },
             True,
             id="redirect",
         ),
         pytest.param(
-            {"error": ErrorKind.DRAINING, "redirects": MAX_REDIRECTS},
+            {
+                "error": ErrorKind.DRAINING,
+                "transparent_retries": MAX_TRANSPARENT_RETRIES,
+            },
             False,
             id="redirected_too_often",
         ),
@@ -66,7 +73,7 @@
     changes: dict[str, object], retried: bool
 ) -> None:
     attempt = attrs.evolve(FAILED, **changes)
-    verdict = Retries(random.Random(1)).decide("stock", attempt, 0)
+    verdict = RetryPolicy(random.Random(1)).decide("stock", attempt, 0)
     assert (verdict is not None) is retried
 
 
@@ -76,13 +83,13 @@
     With free retries the upstream would get three times its usual load just
     when it cannot even carry that.
     """
-    retries = Retries(random.Random(1))
+    retries = RetryPolicy(random.Random(1))
     tries = 0
     for now_ms in range(0, 10_000, 2):
-        retries.first_try("stock", now_ms)
+        retries.on_first_attempt("stock", now_ms)
         tries += 1
         for number in range(1, 4):
-            attempt = attrs.evolve(FAILED, tries=number)
+            attempt = attrs.evolve(FAILED, attempts=number)
             if retries.decide("stock", attempt, now_ms) is None:
                 break
             tries += 1
@@ -100,7 +107,7 @@
     fleet.events.run()
     outcomes = fleet.outcomes()
     assert len(outcomes["answered"]) > 0.98 * len(fleet.calls)
-    assert max(fleet.runs.values()) <= MAX_TRIES
+    assert max(fleet.runs.values()) <= MAX_ATTEMPTS
 
 
 STEPS = st.lists(
@@ -117,10 +124,10 @@
     for action, pause_ms in steps:
         now_ms += pause_ms
         if action == "first":
-            budget.first_try(now_ms)
+            budget.on_first_attempt(now_ms)
             firsts += 1
         else:
-            budget.take(now_ms)
+            budget.try_acquire(now_ms)
         allowed = BUDGET_MOST + 0.1 * firsts + 0.5 * now_ms / 1000
         assert budget.spent <= allowed + 1e-6
         assert 0 <= budget.tokens <= BUDGET_MOST
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_retry_budget.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_retry_budget.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pomelobank_core import SharedBudget
+from pomelobank_core import MeshRetryBudget
 from pomelobank_core._retry_budget import SHARED_PART
 
 RATIO = 0.2
@@ -11,8 +11,8 @@
 WINDOW_MS = 10_000.0
 
 
-def budget(nodes: int) -> SharedBudget:
-    return SharedBudget(RATIO, SLACK, WINDOW_MS, lambda: nodes)
+def budget(nodes: int) -> MeshRetryBudget:
+    return MeshRetryBudget(RATIO, SLACK, WINDOW_MS, lambda: nodes)
 
 
 def test_all_nodes_together_keep_the_slack() -> None:
@@ -22,25 +22,25 @@
     several times what its operator allows.
     """
     nodes = [budget(13) for _ in range(13)]
-    allowed = sum(item.take(60_000) for item in nodes for _ in range(20))
+    allowed = sum(item.try_acquire(60_000) for item in nodes for _ in range(20))
     assert 0 < allowed <= SLACK
 
 
 def test_requests_earn_tries() -> None:
     item = budget(1000)
     for _ in range(100):
-        item.first_try(0)
-    assert sum(item.take(0) for _ in range(100)) == int(
+        item.on_first_attempt(0)
+    assert sum(item.try_acquire(0) for _ in range(100)) == int(
         SHARED_PART * (RATIO * 100 + SLACK / 1000)
     )
 
 
 def test_tries_come_back_once_the_window_has_passed() -> None:
     item = budget(1)
-    while item.take(0):
+    while item.try_acquire(0):
         continue
-    assert not item.take(WINDOW_MS / 2)
-    assert item.take(1.2 * WINDOW_MS)
+    assert not item.try_acquire(WINDOW_MS / 2)
+    assert item.try_acquire(1.2 * WINDOW_MS)
 
 
 @given(
@@ -58,9 +58,9 @@
     for pause_ms, is_first in steps:
         now_ms += pause_ms
         if is_first:
-            item.first_try(now_ms)
+            item.on_first_attempt(now_ms)
             firsts.append(now_ms)
-        elif item.take(now_ms):
+        elif item.try_acquire(now_ms):
             spent.append(now_ms)
     for begin_ms in spent:
         end_ms = begin_ms + WINDOW_MS
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_flight.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_flight.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from pomelobank_core import Attempt, AttemptStep, KeptAnswer
+from pomelobank_core import ClaimAttempt, ClaimAttemptStep, KeptAnswer
 from pomelobank_node._requests import ForwardReply, ForwardRequest
 from pomelobank_schema.generated.peer import Header
 
@@ -41,8 +41,8 @@
     """
 
     keyed: KeyedRequest
-    attempt: Attempt
-    step: asyncio.Future[AttemptStep] = attrs.field(
+    attempt: ClaimAttempt
+    step: asyncio.Future[ClaimAttemptStep] = attrs.field(
         factory=lambda: asyncio.get_running_loop().create_future()
     )
     reply: asyncio.Future[ForwardReply | None] = attrs.field(
@@ -50,7 +50,7 @@
     )
     waiters: int = 0
 
-    def decide(self, step: AttemptStep) -> None:
+    def decide(self, step: ClaimAttemptStep) -> None:
         """Sets what the stream decided, once."""
         if not self.step.done():
             self.step.set_result(step)
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
@@ -9,10 +9,10 @@
 from pomelobank_core import (
     ANSWERS,
     AnswerStore,
-    Attempt,
-    AttemptState,
-    AttemptStep,
     Claim,
+    ClaimAttempt,
+    ClaimAttemptState,
+    ClaimAttemptStep,
     ClaimBatcher,
     ClaimEnded,
     ClaimId,
@@ -256,21 +256,21 @@
                 self._give_up(flight)
         if done:
             return flight.reply.result()
-        if flight.attempt.state is AttemptState.RUNNING:
+        if flight.attempt.state is ClaimAttemptState.RUNNING:
             raise RequestError(ErrorKind.DEADLINE_UNKNOWN)
         raise RequestError(ErrorKind.DEADLINE_NOT_RUN)
 
     def _give_up(self, flight: Flight) -> None:
         flight.attempt = give_up(flight.attempt)
-        if flight.attempt.state is AttemptState.ABANDONED:
-            flight.decide(AttemptStep.NOTHING)
+        if flight.attempt.state is ClaimAttemptState.ABANDONED:
+            flight.decide(ClaimAttemptStep.NOTHING)
 
     # One attempt.
 
     def _begin(self, keyed: KeyedRequest) -> Flight:
         self._check_room()
         number = next(self.numbers)
-        attempt = Attempt(
+        attempt = ClaimAttempt(
             ClaimId(self.writer, number), keyed.key, keyed.deadline_ms
         )
         patience_ms = min(self.settings.claim_timeout_ms, self._left_ms(keyed))
@@ -302,9 +302,11 @@
         await asyncio.wait({flight.step}, timeout=patience_ms / _MS_PER_S)
         self._give_up(flight)
         step = (
-            flight.step.result() if flight.step.done() else AttemptStep.NOTHING
+            flight.step.result()
+            if flight.step.done()
+            else ClaimAttemptStep.NOTHING
         )
-        if step is AttemptStep.RUN:
+        if step is ClaimAttemptStep.RUN:
             await self._run(flight)
             return
         # The key is free for the next sending, or held by another claim that
@@ -339,19 +341,19 @@
         error = reply_error(reply)
         run_state = ANSWERS[error.kind].run_state if error else RunState.RAN
         flight.attempt, step = run_ended(flight.attempt, run_state)
-        if step is AttemptStep.RELEASE:
+        if step is ClaimAttemptStep.RELEASE:
             del self.flights[flight.keyed.key]
             self._release(flight.attempt)
-        if step is AttemptStep.COMPLETE:
+        if step is ClaimAttemptStep.COMPLETE:
             self._complete(flight.attempt, reply)
         flight.end(reply)
 
-    def _release(self, attempt: Attempt) -> None:
+    def _release(self, attempt: ClaimAttempt) -> None:
         self.releasing.add(attempt.claim_id)
         record = ClaimRelease(key=attempt.key, number=attempt.claim_id.number)
         self.out.add(record)
 
-    def _complete(self, attempt: Attempt, reply: ForwardReply) -> None:
+    def _complete(self, attempt: ClaimAttempt, reply: ForwardReply) -> None:
         answer = None if reply.error else kept_answer(reply)
         if answer is not None:
             self.answers.put(attempt.key, answer)
@@ -372,7 +374,7 @@
         abandoned = [
             number
             for number, item in self.pending.items()
-            if item.attempt.state is AttemptState.ABANDONED
+            if item.attempt.state is ClaimAttemptState.ABANDONED
         ]
         for number in abandoned[:-_MAX_ABANDONED]:
             del self.pending[number]
@@ -399,7 +401,7 @@
         flight.attempt, step = claim_seen(
             flight.attempt, event.won, self.clock.now_ms()
         )
-        if step in (AttemptStep.RELEASE, AttemptStep.EXPIRED):
+        if step in (ClaimAttemptStep.RELEASE, ClaimAttemptStep.EXPIRED):
             self._release(flight.attempt)
         flight.decide(step)
 
@@ -420,10 +422,10 @@
             self.releasing.discard(ClaimId(self.writer, release.number))
 
 
-def _unrun_reply(step: AttemptStep) -> ForwardReply | None:
-    if step is AttemptStep.LOST:
+def _unrun_reply(step: ClaimAttemptStep) -> ForwardReply | None:
+    if step is ClaimAttemptStep.LOST:
         return None
     kind = ErrorKind.CLAIM_UNAVAILABLE
-    if step is AttemptStep.EXPIRED:
+    if step is ClaimAttemptStep.EXPIRED:
         kind = ErrorKind.DEADLINE_NOT_RUN
     return error_reply(0, RequestError(kind))
--- a/packages/pomelobank-node/src/pomelobank_node/_contact_finder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_contact_finder.py
@@ -158,7 +158,7 @@
 
     async def _join_by_new_contacts(self) -> bool:
         own = self.swim.table.own.peer_address
-        while not self.joined.is_set() and self.contact.untried(own):
+        while not self.joined.is_set() and self.contact.has_unattempted(own):
             await self._join_by_contacts()
         return self.joined.is_set()
 
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -8,18 +8,18 @@
 import attrs
 
 from pomelobank_core import (
-    MAX_TRIES,
+    MAX_ATTEMPTS,
     CandidateIndex,
     Clock,
     ErrorKind,
-    FailedTry,
+    FailedAttempt,
     Hedging,
     MemberTable,
     Observation,
     Placing,
     Ramp,
-    Retries,
     Retry,
+    RetryPolicy,
     RoundRobin,
     Standing,
     TargetResult,
@@ -35,7 +35,7 @@
 from pomelobank_node._crash_reports import request_fingerprint
 from pomelobank_node._dialect import Dialect
 from pomelobank_node._journey import (
-    HEDGE_WAIT_MS,
+    HEDGE_MAX_WAIT_MS,
     OFFERS,
     OFFERS_BEFORE_QUEUES,
     Journey,
@@ -59,7 +59,7 @@
     error_reply,
     reply_error,
 )
-from pomelobank_node._tracing import TryTrace, current_trace
+from pomelobank_node._tracing import AttemptTrace, current_trace
 from pomelobank_schema.generated.peer import Header, MemberEntry
 from pomelobank_schema.generated.settings import RequestSettings
 
@@ -114,7 +114,7 @@
     placing: Placing
     retry_header: bytes = RETRY_HEADER
     index: CandidateIndex = attrs.field()
-    retries: Retries = attrs.field(factory=Retries)
+    retries: RetryPolicy = attrs.field(factory=RetryPolicy)
     hold_back_bytes: int = HOLD_BACK_BYTES
     line_bytes_per_ms: float = math.inf
     hedging: Hedging | None = None
@@ -145,7 +145,7 @@
             now_ms + request.remaining_ms,
             bool(self.retry_header) and self.retry_header in names,
         )
-        self.retries.first_try(request.upstream, now_ms)
+        self.retries.on_first_attempt(request.upstream, now_ms)
         target = self._place(journey)
         if target is None:
             raise RequestError(ErrorKind.NO_TARGET)
@@ -169,7 +169,7 @@
             if retry is None:
                 return journey.final(reply)
             journey.remember(reply)
-            await asyncio.sleep(retry.after_ms / _MS_PER_S)
+            await asyncio.sleep(retry.delay_ms / _MS_PER_S)
             try:
                 following = self._place(journey)
             except RequestError as error:
@@ -182,7 +182,7 @@
 
     def _offers(self, journey: Journey) -> int:
         targets = self.index.of(journey.request.upstream).targets
-        if not self.retries.free_refusals or journey.runs_alone:
+        if not self.retries.free_rejections or journey.runs_alone:
             return 0
         if len(targets) < OFFERS:
             return 0
@@ -225,9 +225,9 @@
             # Every node sends it to the same target, so that it runs once at
             # a time and a crash takes that one target only.
             print_ = request_fingerprint(request)
-            return isolation_target(candidates, print_, journey.tried)
+            return isolation_target(candidates, print_, journey.attempted_nodes)
         return self.placing.place(
-            candidates, journey.tried, load_class(request), now_ms
+            candidates, journey.attempted_nodes, load_class(request), now_ms
         )
 
     async def _queue_at_several(self, journey: Journey) -> ForwardReply:
@@ -242,7 +242,7 @@
             return await self._try(journey, journey.least_busy())
         binding = LateBinding()
         for target in targets:
-            binding.tries[target.node] = asyncio.create_task(
+            binding.attempts[target.node] = asyncio.create_task(
                 self._try(journey, target, binding=binding)
             )
         try:
@@ -278,14 +278,14 @@
 
     def _hedge_after_ms(self, journey: Journey) -> float | None:
         request = journey.request
-        once = (request.max_attempts or MAX_TRIES) < _TWICE
+        once = (request.max_attempts or MAX_ATTEMPTS) < _TWICE
         if self.hedging is None or once or not request.idempotent:
             return None
-        if journey.tries or rest_of(request) is not None:
+        if journey.attempts or rest_of(request) is not None:
             return None
         now_ms = self.clock.now_ms()
         left_ms = journey.deadline_ms - now_ms
-        return self.hedging.after_ms(request.route, left_ms, now_ms)
+        return self.hedging.delay_ms(request.route, left_ms, now_ms)
 
     def _second_target(self, journey: Journey) -> MemberEntry | None:
         request = journey.request
@@ -294,10 +294,12 @@
         now_ms = self.clock.now_ms()
         candidates = self.index.of(request.upstream)
         kind = load_class(request)
-        other = self.placing.place(candidates, journey.tried, kind, now_ms)
+        other = self.placing.place(
+            candidates, journey.attempted_nodes, kind, now_ms
+        )
         if other is None or not self.placing.has_room(other, kind, now_ms):
             return None
-        if not self.retries.hedge(request.upstream, now_ms):
+        if not self.retries.allow_hedge(request.upstream, now_ms):
             return None
         return other
 
@@ -338,13 +340,15 @@
             remaining_ms=left_ms,
             # What is late already keeps the shortest aim that can be told.
             aim_ms=max(1, first.aim_ms - spent_ms) if first.aim_ms else 0,
-            max_wait_ms=HEDGE_WAIT_MS if is_hedge else journey.offer_wait_ms,
+            max_wait_ms=HEDGE_MAX_WAIT_MS
+            if is_hedge
+            else journey.offer_wait_ms,
             bind_late=binding is not None,
         )
-        if binding is None and journey.tries > journey.redirects:
+        if binding is None and journey.attempts > journey.redirects:
             request = self._mark_retry(request)
-        journey.tries += 1
-        journey.tried.add(target.node)
+        journey.attempts += 1
+        journey.attempted_nodes.add(target.node)
         self.placing.sent(target, begun_ms)
         # Where another target answers first, this try is cancelled.
         seen = Observation(TargetResult.NEUTRAL)
@@ -378,13 +382,13 @@
             now_ms = self.clock.now_ms()
             self.placing.ended(target, candidates, seen, now_ms)
             if binding is not None and binding.node != target.node:
-                journey.waited_at(target)
+                journey.discard_attempt(target)
 
     def _is_overdue(self, request: ForwardRequest, took_ms: float) -> bool:
         if self.hedging is None:
             return False
         now_ms = self.clock.now_ms()
-        after_ms = self.hedging.after_ms(request.route, math.inf, now_ms)
+        after_ms = self.hedging.delay_ms(request.route, math.inf, now_ms)
         return after_ms is not None and took_ms >= after_ms
 
     async def _send(
@@ -441,18 +445,18 @@
         if rest_of(reply) is not None or not can_be_sent_again(request):
             return None
         now_ms = self.clock.now_ms()
-        attempt = FailedTry(
+        attempt = FailedAttempt(
             error=error.kind if error else None,
             idempotent=request.idempotent,
-            tries=journey.tries,
-            redirects=journey.redirects,
-            left_ms=journey.deadline_ms - now_ms,
+            attempts=journey.attempts,
+            transparent_retries=journey.redirects,
+            remaining_ms=journey.deadline_ms - now_ms,
             is_retry=journey.is_retry,
-            other_room=self._other_room(journey, now_ms),
-            max_tries=request.max_attempts or MAX_TRIES,
+            other_has_capacity=self._other_room(journey, now_ms),
+            max_attempts=request.max_attempts or MAX_ATTEMPTS,
         )
         retry = self.retries.decide(request.upstream, attempt, now_ms)
-        if retry is not None and retry.redirect:
+        if retry is not None and retry.transparent:
             journey.redirects += 1
         return retry
 
@@ -460,11 +464,11 @@
         traffic_class = load_class(journey.request)
         candidates = self.index.of(journey.request.upstream)
         other = self.placing.place(
-            candidates, journey.tried, traffic_class, now_ms
+            candidates, journey.attempted_nodes, traffic_class, now_ms
         )
         if other is None:
             return False
-        if self.retries.free_refusals:
+        if self.retries.free_rejections:
             # Asking costs nothing, and what is urgent may be taken also where
             # all slots are busy.
             return self.placing.may_accept(other, traffic_class, now_ms)
@@ -481,6 +485,6 @@
 
 
 def _trace_try(target: MemberEntry, outcome: str, took_ms: int) -> None:
-    current_trace().tries.append(
-        TryTrace(target.node, target.incarnation, outcome, took_ms)
+    current_trace().attempts.append(
+        AttemptTrace(target.node, target.incarnation, outcome, took_ms)
     )
--- a/packages/pomelobank-node/src/pomelobank_node/_journey.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_journey.py
@@ -23,7 +23,7 @@
 OFFERS_BEFORE_QUEUES = 1
 # Longest wait with which a second try of an overdue request is taken. It gets a
 # slot that is free now; under load it would take one from a first try.
-HEDGE_WAIT_MS = 1
+HEDGE_MAX_WAIT_MS = 1
 # Part of the objective that a request waits at a target without looking for
 # another one. The way to the next takes a few milliseconds, so waiting pays
 # only where it is about as short.
@@ -38,8 +38,8 @@
         request: The request.
         deadline_ms: When its caller stops waiting.
         is_retry: Whether it came in as part of another's retry.
-        tried: Nodes that it was sent to.
-        tries: How often it was sent.
+        attempted_nodes: Nodes that it was sent to.
+        attempts: How often it was sent.
         redirects: How many of these cost the upstream nothing.
         may_have_run: Reply of the last try that may have run, if any.
         offers: How many targets may still decline it.
@@ -50,8 +50,8 @@
     request: ForwardRequest
     deadline_ms: int
     is_retry: bool
-    tried: set[str] = attrs.field(factory=set)
-    tries: int = 0
+    attempted_nodes: set[str] = attrs.field(factory=set)
+    attempts: int = 0
     redirects: int = 0
     may_have_run: ForwardReply | None = None
     offers: int = 0
@@ -77,15 +77,15 @@
             reply: What its node said.
             is_offer: Whether it was the first try, and not one beside it.
         """
-        self.tries -= 1
+        self.attempts -= 1
         if is_offer:
             self.offers -= 1
             self.declined[target] = reply.retry_after_ms
 
-    def waited_at(self, target: MemberEntry) -> None:
+    def discard_attempt(self, target: MemberEntry) -> None:
         """Takes note that it only waited at a target, which is no try."""
-        self.tries -= 1
-        self.tried.discard(target.node)
+        self.attempts -= 1
+        self.attempted_nodes.discard(target.node)
 
     def least_busy(self) -> MemberEntry:
         """Returns the target with the shortest wait of those that declined."""
--- a/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
@@ -57,17 +57,17 @@
 
     Attributes:
         node: Node of the target that runs it; empty until one has a slot.
-        tries: The request's tries, by node.
+        attempts: The request's tries, by node.
     """
 
     node: str = ""
-    tries: dict[str, asyncio.Task[ForwardReply]] = attrs.field(factory=dict)
+    attempts: dict[str, asyncio.Task[ForwardReply]] = attrs.field(factory=dict)
 
     def bind(self, node: str) -> bool:
         """Takes a slot that a target offers; returns whether it is wanted."""
         if not self.node:
             self.node = node
-            for other, task in self.tries.items():
+            for other, task in self.attempts.items():
                 if other != node:
                     task.cancel()
         return self.node == node
@@ -75,12 +75,12 @@
     async def reply(self) -> ForwardReply:
         """Returns the answer, or the refusal that names the shortest wait."""
         refusals: list[ForwardReply] = []
-        pending = set(self.tries.values())
+        pending = set(self.attempts.values())
         while pending:
             done, pending = await asyncio.wait(
                 pending, return_when=asyncio.FIRST_COMPLETED
             )
-            for node, task in self.tries.items():
+            for node, task in self.attempts.items():
                 if task not in done or task.cancelled():
                     continue
                 reply = task.result()
@@ -91,7 +91,7 @@
 
     def end(self) -> None:
         """Withdraws the request from every target."""
-        for task in self.tries.values():
+        for task in self.attempts.values():
             task.cancel()
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/_membership.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_membership.py
@@ -137,13 +137,13 @@
     ) -> None:
         self.receive(frame, reply)
 
-    def own_changed(self) -> None:
+    def gossip_own_entry(self) -> None:
         """Spreads a change of the own entry, beginning at once."""
-        self._act(self.swim.own_changed())
+        self._act(self.swim.gossip_own_entry())
 
-    async def tell_all(self) -> None:
+    async def broadcast_own_entry(self) -> None:
         """Sends the own entry straight to every member."""
-        actions = self.swim.tell_all()
+        actions = self.swim.broadcast_own_entry()
         # Peers that sent work lately have a stream; they are told before any
         # handshake is waited for. Sorting keeps suspects behind the others.
         actions.sort(key=lambda action: not self._has_stream(action))
@@ -157,7 +157,7 @@
     async def leave(self) -> None:
         """Tells every member that this node has ended its work."""
         self.table.update_own(state=MemberState.GONE.value)
-        await self.tell_all()
+        await self.broadcast_own_entry()
 
     async def _run(self) -> None:
         while True:
--- a/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
@@ -17,8 +17,8 @@
 from pomelobank_core import (
     Hedging,
     MemberTable,
-    Retries,
-    SharedBudget,
+    MeshRetryBudget,
+    RetryPolicy,
     TargetLease,
 )
 from pomelobank_node._clock import SystemClock
@@ -160,7 +160,9 @@
             self.clock,
             new_placing(settings.requests),
             retry_header=dialect.retry,
-            retries=Retries(new_budget=self._new_budget, free_refusals=True),
+            retries=RetryPolicy(
+                new_budget=self._new_budget, free_rejections=True
+            ),
             hedging=Hedging(),
             line_bytes_per_ms=settings.line_mbps * _BYTES_PER_MBIT_MS
             or math.inf,
@@ -182,9 +184,9 @@
             self.dispatcher, self.clock, dialect, settings.target.upstream
         )
 
-    def _new_budget(self) -> SharedBudget:
+    def _new_budget(self) -> MeshRetryBudget:
         retries = self.settings.retries
-        return SharedBudget(
+        return MeshRetryBudget(
             retries.ratio,
             retries.slack,
             retries.window_s * _MS_PER_S,
--- a/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
@@ -155,7 +155,7 @@
             table.update_own(
                 state=state, upstream=new.upstream, slots=new.slots
             )
-        self.membership.own_changed()
+        self.membership.gossip_own_entry()
 
     async def leave(self, departure: DepartureRecord) -> None:
         """Takes the word of a target that it leaves, which it says only once.
@@ -210,7 +210,7 @@
         _logger.info("target.draining", extra=self._target_fields())
         self.membership.table.update_own(state=MemberState.DRAINING.value)
         self.refusing = asyncio.create_task(self._refuse_later())
-        await self.membership.tell_all()
+        await self.membership.broadcast_own_entry()
 
     def _target_fields(self) -> dict[str, object]:
         target = self.lease.announcement
@@ -230,7 +230,7 @@
         if self.lease.check(now_ms) is TargetChange.LAPSED:
             _logger.warning("target.lapsed", extra=self._target_fields())
             self.membership.table.update_own(state=MemberState.STARTING.value)
-            self.membership.own_changed()
+            self.membership.gossip_own_entry()
 
 
 def _departure_of(target: TargetAnnouncement) -> DepartureRecord:
--- a/packages/pomelobank-node/src/pomelobank_node/_tracing.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_tracing.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class TryTrace:
+class AttemptTrace:
     """One try at a target.
 
     Attributes:
@@ -34,14 +34,14 @@
         version: Configuration version that it was routed by.
         upstream: Upstream that the weights chose.
         deadline_ms: Time that it had.
-        tries: What became of it at each target.
+        attempts: What became of it at each target.
     """
 
     route: str = ""
     version: int = 0
     upstream: str = ""
     deadline_ms: int = 0
-    tries: list[TryTrace] = attrs.field(factory=list)
+    attempts: list[AttemptTrace] = attrs.field(factory=list)
 
 
 _current: contextvars.ContextVar[RequestTrace | None] = contextvars.ContextVar(
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
@@ -234,7 +234,7 @@
                 "upstream": trace.upstream,
                 "had_ms": trace.deadline_ms,
                 "took_ms": now_ms - begun_ms,
-                "tries": [str(item) for item in trace.tries],
+                "tries": [str(item) for item in trace.attempts],
                 "lines_dropped": self.lines.take_dropped(),
             },
         )
--- a/packages/pomelobank-node/src/pomelobank_node/tests/forwarding_support.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/forwarding_support.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable
 
-from pomelobank_core import ManualClock, MemberTable, Retries, TwoChoices
+from pomelobank_core import ManualClock, MemberTable, RetryPolicy, TwoChoices
 from pomelobank_node._crash_reports import CrashReports
 from pomelobank_node._forwarder import Forwarder
 from pomelobank_node._owner import Owner
@@ -47,5 +47,5 @@
         links,
         clock,
         TwoChoices(random.Random(1)),
-        retries=Retries(random.Random(1), free_refusals=True),
+        retries=RetryPolicy(random.Random(1), free_rejections=True),
     )
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_forwarder.py
@@ -334,7 +334,7 @@
     """
     links = ScriptedLinks(*replies)
     forwarder = _forwarder(links)
-    forwarder.retries.free_refusals = True
+    forwarder.retries.free_rejections = True
     reply = await forwarder.forward(_request(False, aim_ms=500))
     assert reply.error == error
     assert [request.max_wait_ms for request in links.sent] == waits
@@ -346,6 +346,6 @@
     asked: list[str] = []
     links.to = lambda address: asked.append(address) or links  # type: ignore
     forwarder = _forwarder(links)
-    forwarder.retries.free_refusals = True
+    forwarder.retries.free_rejections = True
     await forwarder.forward(_request(False, aim_ms=500))
     assert asked[2] == asked[0] != asked[1]
--- a/packages/pomelobank-testing/src/pomelobank_testing/_core_members.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_core_members.py
@@ -172,7 +172,7 @@
     entry = fleet.entry(index)
     swim = fleet.members[entry.peer_address]
     swim.table.update_own(state=MemberState.DRAINING.value)
-    actions = swim.tell_all() if direct else swim.own_changed()
+    actions = swim.broadcast_own_entry() if direct else swim.gossip_own_entry()
     fleet.act(entry.peer_address, entry.peer_address, actions)
     return fleet.run_until(
         lambda: fleet.all_see(entry.node, MemberState.DRAINING.value),
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
@@ -105,7 +105,7 @@
 
 
 def _without_offers(node: ModelNode) -> None:
-    node.forwarder.retries.free_refusals = False
+    node.forwarder.retries.free_rejections = False
 
 
 def _without_patience(node: ModelNode) -> None:
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
@@ -16,9 +16,9 @@
     ErrorKind,
     Hedging,
     MemberTable,
+    MeshRetryBudget,
     Ramp,
-    Retries,
-    SharedBudget,
+    RetryPolicy,
     TwoChoices,
 )
 from pomelobank_node._bodies import BodySource, rest_of, with_rest
@@ -214,8 +214,8 @@
             clock,
             TwoChoices(self.seeded, Ramp(0.5, 3000)),
             retry_header=b"",
-            retries=Retries(
-                self.seeded, new_budget=self._budget, free_refusals=True
+            retries=RetryPolicy(
+                self.seeded, new_budget=self._budget, free_rejections=True
             ),
             hedging=Hedging(),
             line_bytes_per_ms=self.pattern.line_bytes_per_s / _MS_PER_S
@@ -233,8 +233,8 @@
         self.nodes.append(node)
         self.by_address[own.peer_address] = node
 
-    def _budget(self) -> SharedBudget:
-        return SharedBudget(
+    def _budget(self) -> MeshRetryBudget:
+        return MeshRetryBudget(
             _RETRY_RATIO,
             _RETRY_SLACK,
             _RETRY_WINDOW_MS,
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_fleet.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_fleet.py
@@ -127,7 +127,7 @@
     fleet = MemberFleet.of(40)
     drained = fleet.members[address(7)]
     drained.table.update_own(state=DRAINING)
-    fleet.act(address(7), address(7), drained.tell_all())
+    fleet.act(address(7), address(7), drained.broadcast_own_entry())
     fleet.step()
     assert fleet.all_see(node(7), DRAINING)
     fleet.run(MINUTE_MS)
@@ -195,7 +195,7 @@
     fleet = MemberFleet.of(60)
     changed = fleet.members[address(7)]
     changed.table.update_own(state=DRAINING)
-    fleet.act(address(7), address(7), changed.own_changed())
+    fleet.act(address(7), address(7), changed.gossip_own_entry())
     fleet.step()
     told = {
         swim.table.own.data_centre
