--- a/packages/pomelobank-core/src/pomelobank_core/__init__.py
+++ b/packages/pomelobank-core/src/pomelobank_core/__init__.py
@@ -17,9 +17,6 @@
         CandidateIndex,
         Candidates,
     )
-    from pomelobank_core._claim_answers import (
-        AnswerStore,
-    )
     from pomelobank_core._claim_attempts import (
         ClaimAttempt,
         ClaimAttemptState,
@@ -32,6 +29,9 @@
     from pomelobank_core._claim_batcher import (
         ClaimBatcher,
     )
+    from pomelobank_core._claim_responses import (
+        ResponseStore,
+    )
     from pomelobank_core._claims import (
         SHARDS,
         Claim,
@@ -41,7 +41,7 @@
         ClaimSeen,
         ClaimStatus,
         ClaimTable,
-        KeptAnswer,
+        StoredResponse,
         claim_key,
         completion_record,
         rank_claimants,
@@ -73,9 +73,9 @@
         find_neighbours,
     )
     from pomelobank_core._errors import (
-        ANSWERS,
-        Answer,
+        ERROR_RESPONSES,
         ErrorKind,
+        ErrorResponse,
         RunState,
     )
     from pomelobank_core._exchange import (
@@ -231,7 +231,7 @@
     )
 
 __all__ = [
-    "ANSWERS",
+    "ERROR_RESPONSES",
     "MAX_ATTEMPTS",
     "POINTS_NODE_LOST",
     "POINTS_TARGET_LOST",
@@ -242,8 +242,6 @@
     "Action",
     "Admission",
     "AdmissionPolicy",
-    "Answer",
-    "AnswerStore",
     "BriefWork",
     "Budget",
     "CallerPatience",
@@ -271,6 +269,7 @@
     "Distribution",
     "EntryRank",
     "ErrorKind",
+    "ErrorResponse",
     "Evidence",
     "ExchangeState",
     "ExchangeTable",
@@ -282,7 +281,6 @@
     "FrameVerdict",
     "GuaranteedShared",
     "Hedging",
-    "KeptAnswer",
     "LastRequests",
     "ManualClock",
     "MemberState",
@@ -308,6 +306,7 @@
     "Recovery",
     "Refused",
     "Reply",
+    "ResponseStore",
     "Retry",
     "RetryBudget",
     "RetryPolicy",
@@ -322,6 +321,7 @@
     "Standing",
     "Started",
     "StopOrder",
+    "StoredResponse",
     "Swim",
     "TargetChange",
     "TargetLease",
@@ -381,7 +381,6 @@
         "CandidateIndex",
         "Candidates",
     ),
-    "_claim_answers": ("AnswerStore",),
     "_claim_attempts": (
         "ClaimAttempt",
         "ClaimAttemptState",
@@ -392,6 +391,7 @@
         "run_ended",
     ),
     "_claim_batcher": ("ClaimBatcher",),
+    "_claim_responses": ("ResponseStore",),
     "_claims": (
         "Claim",
         "ClaimEnded",
@@ -400,8 +400,8 @@
         "ClaimSeen",
         "ClaimStatus",
         "ClaimTable",
-        "KeptAnswer",
         "SHARDS",
+        "StoredResponse",
         "claim_key",
         "completion_record",
         "rank_claimants",
@@ -431,9 +431,9 @@
         "find_neighbours",
     ),
     "_errors": (
-        "ANSWERS",
-        "Answer",
+        "ERROR_RESPONSES",
         "ErrorKind",
+        "ErrorResponse",
         "RunState",
     ),
     "_exchange": (
--- a/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
@@ -153,9 +153,9 @@
         self._vacate(ticket)
         if self.alone is ticket:
             self.alone = None
-        if result is WorkResult.ANSWERED:
+        if result is WorkResult.RESPONDED:
             self._learn_time(ticket, took_ms, now_ms)
-            self.limit.answered(ticket.route, took_ms, busy)
+            self.limit.on_response(ticket.route, took_ms, busy)
         elif result is WorkResult.SHED:
             self.limit.shed()
         elif result is WorkResult.LOST:
--- a/packages/pomelobank-core/src/pomelobank_core/_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claims.py
@@ -75,7 +75,7 @@
 
 
 @attrs.frozen
-class KeptAnswer:
+class StoredResponse:
     """A target's answer, kept for a caller that sends its key again.
 
     Attributes:
@@ -89,7 +89,7 @@
     body: bytes
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Bytes that the answer takes."""
         names = sum(len(name) + len(value) for name, value in self.headers)
         return names + len(self.body)
@@ -151,11 +151,11 @@
 
     Attributes:
         key: Its key.
-        answer: The answer, where the log keeps it.
+        response: The answer, where the log keeps it.
     """
 
     key: bytes
-    answer: KeptAnswer | None = None
+    response: StoredResponse | None = None
 
 
 ClaimEvent = ClaimSeen | ClaimEnded
@@ -321,18 +321,18 @@
         return max(0, oldest.expires_ms - now_ms)
 
 
-def _kept(completion: ClaimCompletion) -> KeptAnswer | None:
+def _kept(completion: ClaimCompletion) -> StoredResponse | None:
     if completion.error or not completion.kept:
         return None
     headers = tuple((item.name, item.value) for item in completion.headers)
-    return KeptAnswer(completion.status, headers, completion.body)
+    return StoredResponse(completion.status, headers, completion.body)
 
 
 def completion_record(
     key: bytes,
     number: int,
     error: str,
-    answer: KeptAnswer | None,
+    response: StoredResponse | None,
     max_bytes: int,
 ) -> ClaimCompletion:
     """Returns the record of how a claim's request ended.
@@ -341,11 +341,11 @@
         key: The claim key.
         number: The claim's number.
         error: Error kind; empty where the target answered.
-        answer: The answer, None where there was none.
+        response: The answer, None where there was none.
         max_bytes: Largest answer that goes into the log.
     """
-    if answer is None or answer.size > max_bytes:
-        status = 0 if answer is None else answer.status
+    if response is None or response.size_bytes > max_bytes:
+        status = 0 if response is None else response.status
         return ClaimCompletion(
             key=key, number=number, error=error, status=status
         )
@@ -353,11 +353,11 @@
         key=key,
         number=number,
         error=error,
-        status=answer.status,
+        status=response.status,
         headers=tuple(
             AnswerHeader(name=name, value=value)
-            for name, value in answer.headers
+            for name, value in response.headers
         ),
-        body=answer.body,
+        body=response.body,
         kept=True,
     )
--- a/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
@@ -78,7 +78,7 @@
         self.slots = slots
         self.current = min(self.current, slots)
 
-    def answered(self, route: str, took_ms: float, busy: int) -> None:
+    def on_response(self, route: str, took_ms: float, busy: int) -> None:
         """Takes an answer.
 
         Args:
@@ -168,7 +168,7 @@
         """Takes the number that the target announces."""
         self.current = slots
 
-    def answered(self, route: str, took_ms: float, busy: int) -> None:
+    def on_response(self, route: str, took_ms: float, busy: int) -> None:
         """Takes an answer; it changes nothing."""
 
     def shed(self) -> None:
--- a/packages/pomelobank-core/src/pomelobank_core/_distribution.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_distribution.py
@@ -291,7 +291,7 @@
         """Returns the time since the newest known read; -1 for none."""
         return -1 if self.log_read_ms is None else now_ms - self.log_read_ms
 
-    def log_answered(self, now_ms: int, at_end: bool) -> None:
+    def on_log_read(self, now_ms: int, at_end: bool) -> None:
         """Notes that the node read the log.
 
         Args:
--- a/packages/pomelobank-core/src/pomelobank_core/_errors.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_errors.py
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen
-class Answer:
+class ErrorResponse:
     """What the caller is told for an error kind.
 
     Attributes:
@@ -74,123 +74,125 @@
 _NOT_RUN = RunState.NOT_RUN
 _UNKNOWN = RunState.UNKNOWN
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(
         400, _NOT_RUN, 0, "The request is malformed."
     ),
-    ErrorKind.HEAD_TOO_LARGE: Answer(
+    ErrorKind.HEAD_TOO_LARGE: ErrorResponse(
         431, _NOT_RUN, 0, "The request's head is larger than this mesh allows."
     ),
-    ErrorKind.HEAD_TIMEOUT: Answer(
+    ErrorKind.HEAD_TIMEOUT: ErrorResponse(
         408, _NOT_RUN, 0, "The request's head did not arrive in time."
     ),
-    ErrorKind.BODY_TOO_LARGE: Answer(
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(
         413, _NOT_RUN, 0, "The request's body is larger than this mesh allows."
     ),
-    ErrorKind.BODY_INCOMPLETE: Answer(
+    ErrorKind.BODY_INCOMPLETE: ErrorResponse(
         400,
         _UNKNOWN,
         0,
         "The request's body broke off or grew too large on its way.",
     ),
-    ErrorKind.NO_ROUTE: Answer(
+    ErrorKind.NO_ROUTE: ErrorResponse(
         404, _NOT_RUN, 0, "No route matches the service and path."
     ),
-    ErrorKind.NOT_READY: Answer(
+    ErrorKind.NOT_READY: ErrorResponse(
         503,
         _NOT_RUN,
         1000,
         "This node has not caught up with the configuration yet.",
     ),
-    ErrorKind.NO_TARGET: Answer(
+    ErrorKind.NO_TARGET: ErrorResponse(
         503, _NOT_RUN, 1000, "No target of the route can serve requests now."
     ),
-    ErrorKind.OVERLOADED: Answer(
+    ErrorKind.OVERLOADED: ErrorResponse(
         503, _NOT_RUN, 500, "The route's targets have no room for this request."
     ),
-    ErrorKind.DRAINING: Answer(
+    ErrorKind.DRAINING: ErrorResponse(
         503, _NOT_RUN, 200, "The node is stopping and takes no new requests."
     ),
-    ErrorKind.QUARANTINED: Answer(
+    ErrorKind.QUARANTINED: ErrorResponse(
         503,
         _NOT_RUN,
         60000,
         "Requests like this one crashed several targets.",
     ),
-    ErrorKind.DEADLINE_NOT_RUN: Answer(
+    ErrorKind.DEADLINE_NOT_RUN: ErrorResponse(
         503, _NOT_RUN, 500, "The deadline passed before the request could run."
     ),
-    ErrorKind.DEADLINE_UNKNOWN: Answer(
+    ErrorKind.DEADLINE_UNKNOWN: ErrorResponse(
         504,
         _UNKNOWN,
         1000,
         "The deadline passed while the request was at a target.",
     ),
-    ErrorKind.STOPPED_UNKNOWN: Answer(
+    ErrorKind.STOPPED_UNKNOWN: ErrorResponse(
         504,
         _UNKNOWN,
         200,
         "The node has to end while the request is at a target.",
     ),
-    ErrorKind.PEER_UNREACHABLE: Answer(
+    ErrorKind.PEER_UNREACHABLE: ErrorResponse(
         503, _NOT_RUN, 500, "The target's node could not be reached."
     ),
-    ErrorKind.PEER_LOST: Answer(
+    ErrorKind.PEER_LOST: ErrorResponse(
         502,
         _UNKNOWN,
         1000,
         "The stream to the target's node broke while the request was there.",
     ),
-    ErrorKind.UPSTREAM_UNREACHABLE: Answer(
+    ErrorKind.UPSTREAM_UNREACHABLE: ErrorResponse(
         503, _NOT_RUN, 500, "The target did not accept a connection."
     ),
-    ErrorKind.TARGET_REFUSED: Answer(
+    ErrorKind.TARGET_REFUSED: ErrorResponse(
         503, _NOT_RUN, 200, "The target turned the request away unrun."
     ),
-    ErrorKind.TARGET_REPLACED: Answer(
+    ErrorKind.TARGET_REPLACED: ErrorResponse(
         503, _NOT_RUN, 200, "Another instance has taken the target's address."
     ),
-    ErrorKind.UPSTREAM_LOST: Answer(
+    ErrorKind.UPSTREAM_LOST: ErrorResponse(
         502,
         _UNKNOWN,
         1000,
         "The target broke the connection before a whole answer.",
     ),
-    ErrorKind.ANSWER_TOO_LARGE: Answer(
+    ErrorKind.ANSWER_TOO_LARGE: ErrorResponse(
         502, RunState.RAN, 0, "The answer is larger than this mesh allows."
     ),
-    ErrorKind.ANSWER_TRUNCATED: Answer(
+    ErrorKind.ANSWER_TRUNCATED: ErrorResponse(
         502, _UNKNOWN, 1000, "The answer broke off before its end."
     ),
-    ErrorKind.CLAIM_UNAVAILABLE: Answer(
+    ErrorKind.CLAIM_UNAVAILABLE: ErrorResponse(
         503,
         _NOT_RUN,
         1000,
         "The idempotency key cannot be claimed at the moment.",
     ),
-    ErrorKind.CLAIM_UNKNOWN: Answer(
+    ErrorKind.CLAIM_UNKNOWN: ErrorResponse(
         409,
         _UNKNOWN,
         1000,
         "An earlier request with this key may have run.",
     ),
-    ErrorKind.CLAIM_ANSWERED: Answer(
+    ErrorKind.CLAIM_ANSWERED: ErrorResponse(
         409,
         RunState.RAN,
         0,
         "A request with this key was answered; the answer is no longer kept.",
     ),
-    ErrorKind.KEY_IN_USE: Answer(
+    ErrorKind.KEY_IN_USE: ErrorResponse(
         409, _UNKNOWN, 500, "A request with this idempotency key is under way."
     ),
-    ErrorKind.KEY_MISMATCH: Answer(
+    ErrorKind.KEY_MISMATCH: ErrorResponse(
         422,
         _NOT_RUN,
         0,
         "The idempotency key was used before with a different request.",
     ),
-    ErrorKind.CANCELLED: Answer(499, _UNKNOWN, 0, "The caller went away."),
-    ErrorKind.INTERNAL: Answer(
+    ErrorKind.CANCELLED: ErrorResponse(
+        499, _UNKNOWN, 0, "The caller went away."
+    ),
+    ErrorKind.INTERNAL: ErrorResponse(
         500, _UNKNOWN, 1000, "The node failed while it handled the request."
     ),
 }
--- a/packages/pomelobank-core/src/pomelobank_core/_exchange.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_exchange.py
@@ -19,12 +19,12 @@
     Attributes:
         QUEUED: No byte of it has been handed to the connection.
         SENT: The peer may have it.
-        ANSWERING: Its answer has begun and is not whole yet.
+        RESPONDING: Its answer has begun and is not whole yet.
     """
 
     QUEUED = "queued"
     SENT = "sent"
-    ANSWERING = "answering"
+    RESPONDING = "answering"
 
 
 class FrameVerdict(enum.Enum):
@@ -109,7 +109,7 @@
         if not more:
             del self.exchanges[request_id]
             return FrameVerdict.DELIVER
-        exchange.state = ExchangeState.ANSWERING
+        exchange.state = ExchangeState.RESPONDING
         return FrameVerdict.DELIVER
 
     def chunk(
@@ -129,7 +129,7 @@
         exchange = self.exchanges.get(request_id)
         if exchange is None:
             return self._drop(request_id)
-        if exchange.state is not ExchangeState.ANSWERING:
+        if exchange.state is not ExchangeState.RESPONDING:
             return self._violation()
         exchange.credit -= size
         if exchange.credit < 0:
--- a/packages/pomelobank-core/src/pomelobank_core/_hedging.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_hedging.py
@@ -30,7 +30,9 @@
 
     usual: RecentWork = attrs.field(factory=RecentWork)
 
-    def learn(self, route: str, took_ms: float, now_ms: float) -> None:
+    def add_response_time(
+        self, route: str, took_ms: float, now_ms: float
+    ) -> None:
         """Takes the time that an answer took."""
         self.usual.add(route, took_ms, now_ms)
 
--- a/packages/pomelobank-core/src/pomelobank_core/_observation.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_observation.py
@@ -15,7 +15,7 @@
     """What a request's end says about the target.
 
     Attributes:
-        ANSWERED: It works.
+        RESPONDED: It works.
         FULL: It has no room just now.
         BUSY: A request would wait there longer than it was offered to.
         LEAVING: It takes no more requests.
@@ -24,7 +24,7 @@
         NEUTRAL: Nothing; the caller went away or the request was wrong.
     """
 
-    ANSWERED = "answered"
+    RESPONDED = "answered"
     FULL = "full"
     BUSY = "busy"
     LEAVING = "leaving"
--- a/packages/pomelobank-core/src/pomelobank_core/_placing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_placing.py
@@ -144,7 +144,7 @@
         """
         load = self._load(target)
         load.own = max(0, load.own - 1)
-        if seen.result is TargetResult.ANSWERED:
+        if seen.result is TargetResult.RESPONDED:
             self._learn_pace(target, load, seen, now_ms)
             load.others = max(0, seen.outstanding - load.own - 1)
             load.reported_ms = now_ms
--- a/packages/pomelobank-core/src/pomelobank_core/_swim.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim.py
@@ -483,7 +483,7 @@
             return []
         return [self.compare(self.random.choice(gone))]
 
-    def may_sync(self, size: int, now_ms: int) -> bool:
+    def may_sync(self, size_bytes: int, now_ms: int) -> bool:
         """Tells whether one more answer of a size is allowed in this second.
 
         The first one always is, however large.
@@ -492,10 +492,10 @@
         if second != self.sync_second:
             self.sync_second = second
             self.sync_bytes = 0
-        if self.sync_bytes and self.sync_bytes + size > SYNC_BYTES_PER_S:
+        if self.sync_bytes and self.sync_bytes + size_bytes > SYNC_BYTES_PER_S:
             self.sync_refusals += 1
             return False
-        self.sync_bytes += size
+        self.sync_bytes += size_bytes
         return True
 
     def versions_in(self, buckets: set[int]) -> tuple[MemberVersion, ...]:
--- a/packages/pomelobank-core/src/pomelobank_core/_tickets.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_tickets.py
@@ -96,13 +96,13 @@
     """How a request's time at the target ended.
 
     Attributes:
-        ANSWERED: With an answer.
+        RESPONDED: With an answer.
         SHED: The target turned it away without working on it.
         LOST: The target broke the connection or took none.
         ABANDONED: The caller went away or its deadline passed.
     """
 
-    ANSWERED = "answered"
+    RESPONDED = "answered"
     SHED = "shed"
     LOST = "lost"
     ABANDONED = "abandoned"
--- a/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
@@ -220,7 +220,7 @@
         assert visit.ticket is not None
         now_ms = self.events.now_ms
         change = visit.target.admission.finish(
-            visit.ticket, WorkResult.ANSWERED, now_ms
+            visit.ticket, WorkResult.RESPONDED, now_ms
         )
         late = now_ms > visit.ticket.deadline_ms
         self._leave(visit, ErrorKind.DEADLINE_UNKNOWN if late else None)
@@ -241,7 +241,7 @@
 
     def _back(self, visit: Visit, error: ErrorKind | None) -> None:
         now_ms = self.events.now_ms
-        result = TargetResult.ANSWERED
+        result = TargetResult.RESPONDED
         if error is not None:
             result = target_result(error, visit.call.timeout_ms)
         admission = visit.target.admission
--- a/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
@@ -153,7 +153,7 @@
         now_ms = self.events.now_ms
         in_time = now_ms <= ticket.deadline_ms
         self._end(call, "answered" if in_time else "deadline_unknown")
-        change = self.admission.finish(ticket, WorkResult.ANSWERED, now_ms)
+        change = self.admission.finish(ticket, WorkResult.RESPONDED, now_ms)
         self._carry_out(change)
 
     def _carry_out(self, change: Change) -> None:
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
@@ -141,8 +141,8 @@
     admission.set_slots(4, 1)
     admission.offer(Ticket(INTERACTIVE, "r", 10_000), 2)
     for ticket in running[:4]:
-        assert not admission.finish(ticket, WorkResult.ANSWERED, 5).started
-    change = admission.finish(running[4], WorkResult.ANSWERED, 6)
+        assert not admission.finish(ticket, WorkResult.RESPONDED, 5).started
+    change = admission.finish(running[4], WorkResult.RESPONDED, 6)
     assert len(change.started) == 1
 
 
@@ -172,7 +172,7 @@
     admission.offer(hung_up, 1)
     admission.offer(too_late, 1)
     admission.leave(hung_up, 2)
-    change = admission.finish(first, WorkResult.ANSWERED, 500)
+    change = admission.finish(first, WorkResult.RESPONDED, 500)
     assert (change.started, change.expired) == ((), (too_late,))
     assert (admission.waiting, admission.in_flight) == (0, 0)
 
@@ -204,9 +204,9 @@
         admission.offer(Ticket(INTERACTIVE, "s", 10_000, alone=True), 3),
         Refused,
     )
-    change = admission.finish(innocent, WorkResult.ANSWERED, 5)
+    change = admission.finish(innocent, WorkResult.RESPONDED, 5)
     assert change.started == (suspect,)
-    change = admission.finish(suspect, WorkResult.ANSWERED, 9)
+    change = admission.finish(suspect, WorkResult.RESPONDED, 9)
     assert change.started == (later,)
 
 
@@ -244,7 +244,7 @@
         elif action == "finish" and running:
             ticket = running.pop(number % len(running))
             before -= 1
-            change = admission.finish(ticket, WorkResult.ANSWERED, now_ms)
+            change = admission.finish(ticket, WorkResult.RESPONDED, now_ms)
         elif action == "leave" and waiting:
             ticket = waiting.pop(number % len(waiting))
             change = admission.leave(ticket, now_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims.py
@@ -13,7 +13,7 @@
     ClaimSeen,
     ClaimStatus,
     ClaimTable,
-    KeptAnswer,
+    StoredResponse,
     claim_key,
     completion_record,
     rank_claimants,
@@ -47,7 +47,7 @@
 
 
 def complete(writer: str, number: int, error: str = "") -> ClaimBatch:
-    answer = None if error else KeptAnswer(200, (), b"done")
+    answer = None if error else StoredResponse(200, (), b"done")
     record = completion_record(b"a", number, error, answer, max_bytes=100)
     return ClaimBatch(
         writer=writer, at_ms=1, window_ms=WINDOW_MS, completions=(record,)
@@ -113,7 +113,7 @@
         ClaimSeen(ClaimId("y", 1), b"a", won=False)
     ]
     assert table.apply(2, complete("x", 1)) == [
-        ClaimEnded(b"a", KeptAnswer(200, (), b"done"))
+        ClaimEnded(b"a", StoredResponse(200, (), b"done"))
     ]
     found = table.find(b"a", 0)
     assert found and found.status is ClaimStatus.ANSWERED
@@ -161,7 +161,7 @@
 
 
 def test_large_answers_stay_out_of_the_log() -> None:
-    answer = KeptAnswer(201, (), b"x" * 101)
+    answer = StoredResponse(201, (), b"x" * 101)
     record = completion_record(b"a", 1, "", answer, max_bytes=100)
     assert (record.kept, record.status, record.body) == (False, 201, b"")
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
@@ -96,7 +96,7 @@
 
     def _ended(self, ticket: Ticket) -> None:
         now_ms = self.events.now_ms
-        change = self.admission.finish(ticket, WorkResult.ANSWERED, now_ms)
+        change = self.admission.finish(ticket, WorkResult.RESPONDED, now_ms)
         work = self.work[ticket]
         in_aim = now_ms <= ticket.offered_ms + work.aim_ms
         self._count(ticket, "in aim" if in_aim else "late")
@@ -208,7 +208,7 @@
         admission.offer(
             Ticket(TrafficClass.INTERNAL, "call", 6000, aim_at_ms=6000), 10
         )
-    change = admission.finish(running, WorkResult.ANSWERED, 100)
+    change = admission.finish(running, WorkResult.RESPONDED, 100)
     assert waiting in change.expired
     assert admission.give_up_ms(waiting) == 2000
 
@@ -289,7 +289,7 @@
     admission = target.admission
     slow = Ticket(TrafficClass.INTERNAL, "call", 5000, aim_at_ms=150)
     admission.offer(slow, 0)
-    admission.finish(slow, WorkResult.ANSWERED, 2000)
+    admission.finish(slow, WorkResult.RESPONDED, 2000)
     target.events.now_ms = 2000
     target.load(attrs.evolve(REPORT, per_s=120, timeout_ms=6000), 2000, 8000)
     target.load(CALL, 3000, 8000)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_distribution.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_distribution.py
@@ -114,9 +114,9 @@
 def test_a_reader_always_keeps_a_read_open() -> None:
     machine = distribution(reader=True)
     assert machine.next_read(0) == ReadPlan(0, 0)
-    machine.log_answered(10, at_end=False)
+    machine.on_log_read(10, at_end=False)
     assert machine.next_read(10) == ReadPlan(0, 0)
-    machine.log_answered(20, at_end=True)
+    machine.on_log_read(20, at_end=True)
     assert machine.next_read(20) == ReadPlan(0, 5000)
 
 
@@ -135,7 +135,7 @@
     would reach no node at all.
     """
     machine = distribution(reader=False)
-    machine.log_answered(0, at_end=True)
+    machine.on_log_read(0, at_end=True)
     latest_ms = SETTINGS.silence_ms + SETTINGS.fallback_ms
     plans = [machine.next_read(now) for now in range(0, latest_ms + 2, 100)]
     plans.append(machine.next_read(latest_ms + 2))
@@ -213,7 +213,7 @@
 ) -> None:
     machine = distribution(reader)
     if own_read == "answered":
-        machine.log_answered(0, at_end=True)
+        machine.on_log_read(0, at_end=True)
     if own_read == "failed":
         machine.log_failed(0)
     now_ms = 100_000
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_exchange.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_exchange.py
@@ -60,7 +60,7 @@
             assert verdict is FrameVerdict.VIOLATION
         elif more:
             assert verdict is FrameVerdict.DELIVER
-            self.states[request_id] = ExchangeState.ANSWERING
+            self.states[request_id] = ExchangeState.RESPONDING
         else:
             assert verdict is FrameVerdict.DELIVER
             del self.states[request_id]
@@ -80,7 +80,7 @@
             self.dropped += 1
             assert verdict is FrameVerdict.DROP
             return
-        if state is not ExchangeState.ANSWERING:
+        if state is not ExchangeState.RESPONDING:
             assert verdict is FrameVerdict.VIOLATION
             return
         self.left[request_id] -= size
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_placing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_placing.py
@@ -138,11 +138,11 @@
     candidates = CandidateIndex(table).of("stock")
     placing = TwoChoices(random.Random(1))
     for target, took_ms in ((near, 30.0), (far, 12.0)):
-        seen = Observation(TargetResult.ANSWERED, CLASS, took_ms)
+        seen = Observation(TargetResult.RESPONDED, CLASS, took_ms)
         placing.ended(target, candidates, seen, 0)
     assert placing.place(candidates, set(), CLASS, 1) == near
     for _ in range(20):
-        seen = Observation(TargetResult.ANSWERED, CLASS, 200.0)
+        seen = Observation(TargetResult.RESPONDED, CLASS, 200.0)
         placing.ended(near, candidates, seen, 2)
     assert placing.place(candidates, set(), CLASS, 3) == far
 
--- a/packages/pomelobank-node/src/pomelobank_node/_claims.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims.py
@@ -8,14 +8,14 @@
 import attrs
 
 from pomelobank_core import (
-    ANSWERS,
+    ERROR_RESPONSES,
     SHARDS,
-    AnswerStore,
     ClaimBatcher,
     Clock,
     ErrorKind,
     MemberState,
     MemberTable,
+    ResponseStore,
     RunState,
     claim_key,
     combine_run_states,
@@ -69,7 +69,7 @@
         settings: Limits.
         place: Runs a claimed request on a target.
         writer: Name under which this start of the node writes.
-        answers: Answers kept for resends.
+        responses: Answers kept for resends.
         workers: Shards that are read, by number.
         forwarded: Requests sent to another claiming node, for the metrics.
         sent_twice: Requests sent to a second claiming node, for the metrics.
@@ -82,7 +82,7 @@
     settings: ClaimSettings
     place: Place
     writer: str = ""
-    answers: AnswerStore = attrs.field(init=False)
+    responses: ResponseStore = attrs.field(init=False)
     workers: dict[int, ShardWorker] = attrs.field(factory=dict)
     numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
     forwarded: int = 0
@@ -91,7 +91,7 @@
     task: asyncio.Task[None] | None = None
 
     def __attrs_post_init__(self) -> None:
-        self.answers = AnswerStore(self.settings.answer_bytes)
+        self.responses = ResponseStore(self.settings.answer_bytes)
         if not self.writer:
             # Random, not a time: a node that restarts with a clock that went
             # back would otherwise write under the name of its former start.
@@ -241,7 +241,7 @@
                 log=self.log,
                 clock=self.clock,
                 settings=self.settings,
-                answers=self.answers,
+                responses=self.responses,
                 numbers=self.numbers,
                 place=self.place,
                 batcher=ClaimBatcher(rate=rate),
@@ -261,4 +261,6 @@
 
 def _run_state(reply: ForwardReply) -> RunState:
     error = reply_error(reply)
-    return RunState.RAN if error is None else ANSWERS[error.kind].run_state
+    return (
+        RunState.RAN if error is None else ERROR_RESPONSES[error.kind].run_state
+    )
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_flight.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_flight.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from pomelobank_core import ClaimAttempt, ClaimAttemptStep, KeptAnswer
+from pomelobank_core import ClaimAttempt, ClaimAttemptStep, StoredResponse
 from pomelobank_node._requests import ForwardReply, ForwardRequest
 from pomelobank_schema.generated.peer import Header
 
@@ -61,13 +61,13 @@
             self.reply.set_result(reply)
 
 
-def kept_answer(reply: ForwardReply) -> KeptAnswer:
+def stored_response(reply: ForwardReply) -> StoredResponse:
     """Returns a target's answer in the form in which it is kept."""
     headers = tuple((item.name, item.value) for item in reply.headers)
-    return KeptAnswer(reply.status, headers, reply.body)
+    return StoredResponse(reply.status, headers, reply.body)
 
 
-def replayed_reply(answer: KeptAnswer) -> ForwardReply:
+def replayed_reply(answer: StoredResponse) -> ForwardReply:
     """Returns the reply to a caller that sent its key again."""
     headers = [Header(name=name, value=value) for name, value in answer.headers]
     headers.append(Header(name=REPLAYED_HEADER, value=b"true"))
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
@@ -7,8 +7,7 @@
 import attrs
 
 from pomelobank_core import (
-    ANSWERS,
-    AnswerStore,
+    ERROR_RESPONSES,
     Claim,
     ClaimAttempt,
     ClaimAttemptState,
@@ -21,6 +20,7 @@
     ClaimTable,
     Clock,
     ErrorKind,
+    ResponseStore,
     RunState,
     claim_seen,
     completion_record,
@@ -30,8 +30,8 @@
 from pomelobank_node._claims_flight import (
     Flight,
     KeyedRequest,
-    kept_answer,
     replayed_reply,
+    stored_response,
 )
 from pomelobank_node._claims_reader import ClaimReader
 from pomelobank_node._claims_writer import ClaimWriter, Item, wait_event
@@ -77,7 +77,7 @@
         log: The log's client.
         clock: Tells the time.
         settings: Limits.
-        answers: Answers kept for resends.
+        responses: Answers kept for resends.
         numbers: Source of claim numbers.
         place: Runs a request on a target.
         batcher: Decides when to append.
@@ -95,7 +95,7 @@
     log: Log
     clock: Clock
     settings: ClaimSettings
-    answers: AnswerStore
+    responses: ResponseStore
     numbers: Iterator[int]
     place: Place
     batcher: ClaimBatcher[Item]
@@ -213,7 +213,7 @@
                 return await self.serve(keyed)
             claim = found
         if claim.status is ClaimStatus.ANSWERED:
-            answer = self.answers.get(keyed.key)
+            answer = self.responses.get(keyed.key)
             if answer is None:
                 raise RequestError(ErrorKind.CLAIM_ANSWERED)
             return replayed_reply(answer)
@@ -339,7 +339,9 @@
 
     def _ran(self, flight: Flight, reply: ForwardReply) -> None:
         error = reply_error(reply)
-        run_state = ANSWERS[error.kind].run_state if error else RunState.RAN
+        run_state = (
+            ERROR_RESPONSES[error.kind].run_state if error else RunState.RAN
+        )
         flight.attempt, step = run_ended(flight.attempt, run_state)
         if step is ClaimAttemptStep.RELEASE:
             del self.flights[flight.keyed.key]
@@ -354,9 +356,9 @@
         self.out.add(record)
 
     def _complete(self, attempt: ClaimAttempt, reply: ForwardReply) -> None:
-        answer = None if reply.error else kept_answer(reply)
+        answer = None if reply.error else stored_response(reply)
         if answer is not None:
-            self.answers.put(attempt.key, answer)
+            self.responses.put(attempt.key, answer)
         record = completion_record(
             attempt.key,
             attempt.claim_id.number,
@@ -407,8 +409,8 @@
 
     def ended(self, event: ClaimEnded) -> None:
         """Keeps the answer of a claim that has ended."""
-        if event.answer and self.answers.get(event.key) is None:
-            self.answers.put(event.key, event.answer)
+        if event.response and self.responses.get(event.key) is None:
+            self.responses.put(event.key, event.response)
 
     def written(self, batch: ClaimBatch) -> None:
         """Forgets what has been written for good."""
--- a/packages/pomelobank-node/src/pomelobank_node/_config_feed.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_config_feed.py
@@ -176,7 +176,7 @@
 
     def _log_answered(self) -> None:
         version, end = self.store.version, self.reader.end_offset
-        self.distribution.log_answered(self.clock.now_ms(), version >= end)
+        self.distribution.on_log_read(self.clock.now_ms(), version >= end)
         self.floor.read_log(version, end)
         self._update_ready()
 
--- a/packages/pomelobank-node/src/pomelobank_node/_config_store.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_config_store.py
@@ -35,27 +35,27 @@
     Attributes:
         first_offset: Offset of the oldest.
         items: Their bytes.
-        size: Sum of their lengths, in bytes.
+        size_bytes: Sum of their lengths, in bytes.
     """
 
     first_offset: int = 0
     items: list[bytes] = attrs.field(factory=list)
-    size: int = 0
+    size_bytes: int = 0
 
     def add(self, offset: int, data: bytes) -> None:
         """Keeps one record; after a gap, the older ones are dropped."""
         if offset != self.first_offset + len(self.items):
-            self.first_offset, self.items, self.size = offset, [], 0
+            self.first_offset, self.items, self.size_bytes = offset, [], 0
         self.items.append(data)
-        self.size += len(data)
+        self.size_bytes += len(data)
         while self._too_many():
-            self.size -= len(self.items.pop(0))
+            self.size_bytes -= len(self.items.pop(0))
             self.first_offset += 1
 
     def _too_many(self) -> bool:
         count = len(self.items)
         return count > MAX_RECENT_RECORDS or (
-            count > 1 and self.size > MAX_RECENT_BYTES
+            count > 1 and self.size_bytes > MAX_RECENT_BYTES
         )
 
     def since(self, offset: int, limit: int) -> tuple[bytes, ...]:
--- a/packages/pomelobank-node/src/pomelobank_node/_contact_finder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_contact_finder.py
@@ -19,7 +19,7 @@
     Log,
     LogError,
     LogPage,
-    read_kept,
+    read_retained,
 )
 from pomelobank_node._peer_links import PeerLinks
 from pomelobank_node._requests import RequestError
@@ -171,7 +171,7 @@
         self.contact.take_records(page.records)
 
     async def _read_on(self, wait_ms: int) -> LogPage:
-        page = await read_kept(
+        page = await read_retained(
             self.log, MEMBERS_STREAM, self.next_offset, TAIL_RECORDS, wait_ms
         )
         self.next_offset = page.next_offset
--- a/packages/pomelobank-node/src/pomelobank_node/_departure_log.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_departure_log.py
@@ -12,7 +12,7 @@
     Log,
     LogError,
     LogErrorKind,
-    read_kept,
+    read_retained,
 )
 from pomelobank_schema import SchemaError, decode, encode
 from pomelobank_schema.generated.records import (
@@ -113,7 +113,7 @@
         offset = 0
         try:
             while True:
-                page = await read_kept(
+                page = await read_retained(
                     self.log, DEPARTURES_STREAM, offset, _PAGE_RECORDS
                 )
                 for data in page.records:
--- a/packages/pomelobank-node/src/pomelobank_node/_dialect.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_dialect.py
@@ -24,8 +24,8 @@
             are told it.
         expected_instance: Start of the target that may run the request.
         not_run: Marks a target's answer that says it has not run the request.
-        proof: Stands in every answer that a target's own work has made; an
-            answer of success without it is not the target's.
+        response_marker: Stands in every answer that a target's own work has
+            made; an answer of success without it is not the target's.
         echoes_id: Whether targets repeat the request's id in their answers.
         open_ends: Whether a target's answer may end with its connection.
         fractional_retry_after: Whether callers read fractions of a second.
@@ -40,7 +40,7 @@
     origin: bytes = b""
     expected_instance: bytes = b""
     not_run: bytes = b""
-    proof: bytes = b""
+    response_marker: bytes = b""
     echoes_id: bool = False
     open_ends: bool = False
     fractional_retry_after: bool = False
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -39,11 +39,11 @@
     OFFERS,
     OFFERS_BEFORE_QUEUES,
     Journey,
-    is_answer,
     is_shed,
     load_class,
     observation,
     was_declined,
+    was_served,
 )
 from pomelobank_node._late_binding import (
     LateBinding,
@@ -312,7 +312,7 @@
                 pending, return_when=asyncio.FIRST_COMPLETED
             )
             replies = [(item, item.result()) for item in done]
-            good = [pair for pair in replies if is_answer(pair[1])]
+            good = [pair for pair in replies if was_served(pair[1])]
             if good or not pending:
                 chosen, reply = good[0] if good else replies[-1]
                 self.hedges_won += chosen is not first
@@ -359,8 +359,10 @@
                 journey.decline(target, reply, is_offer=not is_hedge)
             seen = observation(request, reply, took_ms, first.aim_ms)
             _trace_try(target, reply.error or str(reply.status), took_ms)
-            if self.hedging is not None and is_answer(reply):
-                self.hedging.learn(request.route, took_ms, self.clock.now_ms())
+            if self.hedging is not None and was_served(reply):
+                self.hedging.add_response_time(
+                    request.route, took_ms, self.clock.now_ms()
+                )
             if reply.error == ErrorKind.PEER_LOST.value:
                 self.owner.reports.node_lost(request)
             return reply
--- a/packages/pomelobank-node/src/pomelobank_node/_http_protocol.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_http_protocol.py
@@ -12,8 +12,8 @@
 from pomelobank_core import ErrorKind
 from pomelobank_node._dialect import Dialect
 from pomelobank_node._requests import RequestError
-from pomelobank_node.callers import error_answer
-from pomelobank_node.callers._messages import encode_answer
+from pomelobank_node.callers import error_response
+from pomelobank_node.callers._messages import encode_response
 
 # Larger heads are mistakes or attacks; common servers stop at 8 to 64 KiB.
 MAX_HEAD_BYTES = 64 * 1024
@@ -146,5 +146,5 @@
 
 def _bad_request() -> bytes:
     error = RequestError(ErrorKind.BAD_REQUEST)
-    answer = error_answer(error, Dialect(), closes=True)
-    return encode_answer(answer, head_only=False, closes=True)
+    answer = error_response(error, Dialect(), closes=True)
+    return encode_response(answer, head_only=False, closes=True)
--- a/packages/pomelobank-node/src/pomelobank_node/_journey.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_journey.py
@@ -3,7 +3,7 @@
 import attrs
 
 from pomelobank_core import (
-    ANSWERS,
+    ERROR_RESPONSES,
     ErrorKind,
     Observation,
     RunState,
@@ -94,7 +94,9 @@
     def remember(self, reply: ForwardReply) -> None:
         """Keeps the reply of a try that may have run."""
         error = reply_error(reply)
-        not_run = error and ANSWERS[error.kind].run_state is RunState.NOT_RUN
+        not_run = (
+            error and ERROR_RESPONSES[error.kind].run_state is RunState.NOT_RUN
+        )
         if not not_run:
             self.may_have_run = reply
 
@@ -108,7 +110,7 @@
         error = reply_error(reply)
         if error is None or self.may_have_run is None:
             return reply
-        if ANSWERS[error.kind].run_state is not RunState.NOT_RUN:
+        if ERROR_RESPONSES[error.kind].run_state is not RunState.NOT_RUN:
             return reply
         return attrs.evolve(
             self.may_have_run, retry_after_ms=reply.retry_after_ms
@@ -135,7 +137,7 @@
     return all(header.name != ERROR_HEADER for header in reply.headers)
 
 
-def is_answer(reply: ForwardReply) -> bool:
+def was_served(reply: ForwardReply) -> bool:
     """Tells whether a target has answered, whatever it said."""
     return not reply.error and not is_shed(reply)
 
@@ -166,7 +168,7 @@
     elif is_shed(reply):
         result = TargetResult.FULL
     else:
-        result = TargetResult.ANSWERED
+        result = TargetResult.RESPONDED
     return Observation(
         result,
         load_class(request),
--- a/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
@@ -6,7 +6,7 @@
 
 from pomelobank_core import Candidates, ErrorKind
 from pomelobank_node._bodies import rest_of
-from pomelobank_node._journey import Journey, is_answer
+from pomelobank_node._journey import Journey, was_served
 from pomelobank_node._requests import ForwardReply
 
 # Slots in front of which a request waits at the same time. Each further target
@@ -84,7 +84,7 @@
                 if task not in done or task.cancelled():
                     continue
                 reply = task.result()
-                if node == self.node or is_answer(reply):
+                if node == self.node or was_served(reply):
                     return reply
                 refusals.append(reply)
         return min(refusals, key=_preference)
--- a/packages/pomelobank-node/src/pomelobank_node/_log.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log.py
@@ -100,7 +100,7 @@
         """
 
 
-async def read_kept(
+async def read_retained(
     log: Log, stream: str, offset: int, limit: int, wait_ms: int = 0
 ) -> LogPage:
     """Reads from an offset on, or from the oldest record that is kept.
--- a/packages/pomelobank-node/src/pomelobank_node/_metrics_page.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_metrics_page.py
@@ -7,7 +7,7 @@
 import attrs
 
 from pomelobank_node._log_output import BoundedOutput
-from pomelobank_node.callers import HttpAnswer, HttpRequest
+from pomelobank_node.callers import HttpRequest, HttpResponse
 
 if TYPE_CHECKING:
     from pomelobank_node._metrics import Metrics
@@ -33,11 +33,11 @@
     output: BoundedOutput
     metrics: Metrics | None = None
 
-    async def __call__(self, _: HttpRequest) -> HttpAnswer:
+    async def __call__(self, _: HttpRequest) -> HttpResponse:
         """Answers one request."""
         if self.metrics is None:
             self.metrics = await self._load()
-        return HttpAnswer(200, _CONTENT, self.metrics.text())
+        return HttpResponse(200, _CONTENT, self.metrics.text())
 
     async def _load(self) -> Metrics:
         from pomelobank_node._metrics import Metrics
--- a/packages/pomelobank-node/src/pomelobank_node/_observations.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_observations.py
@@ -292,4 +292,4 @@
     yield listed.CLAIM_KEYS, lambda: claims.keys
     yield listed.CLAIMS_FORWARDED, lambda: claims.forwarded
     yield listed.CLAIMS_REFUSED, lambda: claims.refused
-    yield listed.CLAIM_ANSWER_SIZE, lambda: claims.answers.kept_bytes
+    yield listed.CLAIM_ANSWER_SIZE, lambda: claims.responses.stored_bytes
--- a/packages/pomelobank-node/src/pomelobank_node/_owner.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_owner.py
@@ -235,7 +235,7 @@
                 result = WorkResult.SHED
                 reply = attrs.evolve(reply, retry_after_ms=_SHED_RETRY_AFTER_MS)
             else:
-                result = WorkResult.ANSWERED
+                result = WorkResult.RESPONDED
         except BaseException as error:
             if isinstance(error, RequestError):
                 result = _RESULTS.get(error.kind, result)
--- a/packages/pomelobank-node/src/pomelobank_node/_reference.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_reference.py
@@ -6,7 +6,7 @@
 import sys
 from pathlib import Path
 
-from pomelobank_core import ANSWERS
+from pomelobank_core import ERROR_RESPONSES
 from pomelobank_node import _instruments
 
 
@@ -38,7 +38,7 @@
     rows = [
         f"| `{kind.value}` | {answer.status} | {answer.run_state.value} |"
         f" {answer.retry_after_ms or '-'} | {answer.message} |"
-        for kind, answer in ANSWERS.items()
+        for kind, answer in ERROR_RESPONSES.items()
     ]
     return "\n".join(
         [
--- a/packages/pomelobank-node/src/pomelobank_node/_requests.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_requests.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from pomelobank_core import ANSWERS, ErrorKind
+from pomelobank_core import ERROR_RESPONSES, ErrorKind
 from pomelobank_schema.generated.peer import ForwardReply, ForwardRequest
 
 Headers = Sequence[tuple[bytes, bytes]]
@@ -27,7 +27,7 @@
     """Returns the frame that reports an error to the entry node."""
     retry_after_ms = error.retry_after_ms
     if retry_after_ms is None:
-        retry_after_ms = ANSWERS[error.kind].retry_after_ms
+        retry_after_ms = ERROR_RESPONSES[error.kind].retry_after_ms
     return ForwardReply(
         request_id=request_id,
         error=error.kind.value,
--- a/packages/pomelobank-node/src/pomelobank_node/_target_call.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_call.py
@@ -20,8 +20,8 @@
 from pomelobank_node._upstream_client import (
     LONGEST_IDLE_S,
     ExpectedId,
-    UpstreamAnswer,
     UpstreamPool,
+    UpstreamResponse,
 )
 from pomelobank_schema.generated.peer import Header
 
@@ -95,16 +95,18 @@
     return headers
 
 
-def _check(answer: UpstreamAnswer, dialect: Dialect) -> None:
+def _check(answer: UpstreamResponse, dialect: Dialect) -> None:
     kind = None
     if dialect.expected_instance and answer.status == _MISDIRECTED:
         kind = ErrorKind.TARGET_REPLACED
     elif dialect.not_run and find_header(answer.headers, dialect.not_run):
         kind = ErrorKind.TARGET_REFUSED
-    elif dialect.proof and answer.status in _SUCCESSES:
+    elif dialect.response_marker and answer.status in _SUCCESSES:
         # Something else than the target's work wrote this; a caller must not
         # take it for the answer.
-        proven = find_header(answer.headers, dialect.proof) is not None
+        proven = (
+            find_header(answer.headers, dialect.response_marker) is not None
+        )
         named = not dialect.echoes_id or _has_id(answer, dialect)
         if not (proven and named):
             kind = ErrorKind.ANSWER_TRUNCATED
@@ -114,12 +116,12 @@
         raise RequestError(kind)
 
 
-def _has_id(answer: UpstreamAnswer, dialect: Dialect) -> bool:
+def _has_id(answer: UpstreamResponse, dialect: Dialect) -> bool:
     return find_header(answer.headers, dialect.request_id) is not None
 
 
 def _reply(
-    request: ForwardRequest, answer: UpstreamAnswer, outstanding: int
+    request: ForwardRequest, answer: UpstreamResponse, outstanding: int
 ) -> ForwardReply:
     headers = end_to_end(answer.headers)
     if answer.rest is not None or request.method == _HEAD:
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
@@ -19,8 +19,8 @@
 from pomelobank_node._requests import RequestError
 from pomelobank_node._upstream_connection import (
     ExpectedId,
-    UpstreamAnswer,
     UpstreamConnection,
+    UpstreamResponse,
 )
 
 _CONNECT_TIMEOUT_S = 1.0
@@ -73,7 +73,7 @@
         chunked: bool = False,
         expected_id: ExpectedId | None = None,
         longest_idle_s: float = LONGEST_IDLE_S,
-    ) -> UpstreamAnswer:
+    ) -> UpstreamResponse:
         """Sends one request and waits for its answer.
 
         Args:
@@ -168,8 +168,8 @@
 
 __all__ = [
     "ExpectedId",
-    "UpstreamAnswer",
     "UpstreamPool",
+    "UpstreamResponse",
     "encode_request",
     "end_to_end",
 ]
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class UpstreamAnswer:
+class UpstreamResponse:
     """An answer of the target.
 
     Attributes:
@@ -101,7 +101,7 @@
         self.loop: asyncio.AbstractEventLoop
         self.open = False
         self.idle_since_s = 0.0
-        self.future: asyncio.Future[UpstreamAnswer] | None = None
+        self.future: asyncio.Future[UpstreamResponse] | None = None
         self.rest: PartBuffer | None = None
         self.upload: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -148,7 +148,7 @@
         data: bytes,
         deadline_s: float | None,
         expected_id: ExpectedId | None = None,
-    ) -> asyncio.Future[UpstreamAnswer]:
+    ) -> asyncio.Future[UpstreamResponse]:
         """Sends a request, or the first part of it.
 
         Args:
@@ -358,7 +358,7 @@
         self.pool.give_back(self)
 
     def _answer(self, rest: PartBuffer | None) -> None:
-        answer = UpstreamAnswer(
+        answer = UpstreamResponse(
             self.parser.get_status_code(),
             self.headers,
             b"".join(self.chunks),
--- a/packages/pomelobank-node/src/pomelobank_node/callers/__init__.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/__init__.py
@@ -1,14 +1,14 @@
 """Callers' requests: from the bytes of a connection to a route and back."""
 
 from pomelobank_node._dialect import Dialect
-from pomelobank_node.callers._answers import error_answer
 from pomelobank_node.callers._connection import HttpConnection
+from pomelobank_node.callers._error_responses import error_response
 from pomelobank_node.callers._ingress import Ingress
 from pomelobank_node.callers._messages import (
     Handler,
-    HttpAnswer,
     HttpLimits,
     HttpRequest,
+    HttpResponse,
 )
 from pomelobank_node.callers._server import CallerServer
 
@@ -16,10 +16,10 @@
     "CallerServer",
     "Dialect",
     "Handler",
-    "HttpAnswer",
     "HttpConnection",
     "HttpLimits",
     "HttpRequest",
+    "HttpResponse",
     "Ingress",
-    "error_answer",
+    "error_response",
 ]
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
@@ -25,13 +25,13 @@
     find_header,
 )
 from pomelobank_node._requests import RequestError
-from pomelobank_node.callers._answers import error_answer
+from pomelobank_node.callers._error_responses import error_response
 from pomelobank_node.callers._exchange import Exchange
 from pomelobank_node.callers._messages import (
     Handler,
-    HttpAnswer,
     HttpLimits,
-    encode_answer,
+    HttpResponse,
+    encode_response,
 )
 
 _logger = logging.getLogger(__name__)
@@ -195,7 +195,7 @@
     def on_body(self, data: bytes) -> None:
         """Collects the body, or passes it on once it is long."""
         exchange = self.reading
-        if exchange is None or exchange.answer is not None:
+        if exchange is None or exchange.response is not None:
             return
         exchange.size += len(data)
         if exchange.size > self.server.limits.body_bytes:
@@ -210,7 +210,7 @@
     def on_message_complete(self) -> None:
         """Hands a whole request on."""
         exchange, self.reading = self.reading, None
-        if exchange is None or exchange.answer is not None:
+        if exchange is None or exchange.response is not None:
             return
         if exchange.upload is not None:
             exchange.upload.end()
@@ -245,7 +245,7 @@
     def _reject(self, kind: ErrorKind) -> None:
         """Answers what cannot be read on, after the answers before it."""
         exchange = self.reading
-        if exchange is None or exchange.answer is not None:
+        if exchange is None or exchange.response is not None:
             exchange = Exchange("", b"", [], keep_alive=False)
             self.exchanges.append(exchange)
         if exchange.upload is not None:
@@ -257,7 +257,9 @@
 
     def _end_with(self, exchange: Exchange, kind: ErrorKind) -> None:
         error = RequestError(kind)
-        exchange.answer = error_answer(error, self.server.dialect, closes=True)
+        exchange.response = error_response(
+            error, self.server.dialect, closes=True
+        )
         self.ended = True
         self.head_since_s = None
         self._flush()
@@ -307,8 +309,8 @@
         except Exception:
             _logger.exception("request.failed")
             error = RequestError(ErrorKind.INTERNAL)
-            answer = error_answer(error, self.server.dialect, closes=True)
-        exchange.answer = answer
+            answer = error_response(error, self.server.dialect, closes=True)
+        exchange.response = answer
         if exchange.upload is not None and not exchange.upload.ended:
             # The rest of the body is still to come, or never will. Bytes of it
             # must not be taken for the next request.
@@ -319,14 +321,14 @@
     def _flush(self) -> None:
         while self.exchanges and self.streaming is None:
             exchange = self.exchanges[0]
-            if exchange.answer is None or self.transport is None:
+            if exchange.response is None or self.transport is None:
                 return
             closes = self._closes(exchange)
             head_only = exchange.method == "HEAD"
             self.transport.write(
-                encode_answer(exchange.answer, head_only, closes)
+                encode_response(exchange.response, head_only, closes)
             )
-            if exchange.answer.rest is not None:
+            if exchange.response.rest is not None:
                 self.streaming = asyncio.create_task(
                     self._stream(exchange, closes)
                 )
@@ -334,10 +336,10 @@
             self._done(closes)
 
     def _closes(self, exchange: Exchange) -> bool:
-        assert exchange.answer is not None
+        assert exchange.response is not None
         if not exchange.keep_alive:
             return True
-        self.closing = self.closing or exchange.answer.closes
+        self.closing = self.closing or exchange.response.closes
         # Requests behind this one are under way; only the last answer may end
         # the connection, or they would be sent again elsewhere.
         must_close = self.closing or self.server.draining
@@ -360,7 +362,7 @@
             self.transport.close()
 
     async def _stream(self, exchange: Exchange, closes: bool) -> None:
-        answer = exchange.answer
+        answer = exchange.response
         assert answer is not None
         try:
             whole = await self._write_rest(answer)
@@ -376,7 +378,7 @@
         self._done(closes)
         self._flush()
 
-    async def _write_rest(self, answer: HttpAnswer) -> bool:
+    async def _write_rest(self, answer: HttpResponse) -> bool:
         assert answer.rest is not None and self.transport is not None
         chunked = answer.chunked
         if chunked:
@@ -430,9 +432,9 @@
         """
         error = RequestError(ErrorKind.STOPPED_UNKNOWN)
         for exchange in self.exchanges:
-            if exchange.answer is None:
+            if exchange.response is None:
                 exchange.abandon()
-                exchange.answer = error_answer(error, self.server.dialect)
+                exchange.response = error_response(error, self.server.dialect)
                 exchange.keep_alive = exchange is not self.exchanges[-1]
         self.ended = True
         self._flush()
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_answers.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_error_responses.py
@@ -2,18 +2,18 @@
 
 import json
 
-from pomelobank_core import ANSWERS
+from pomelobank_core import ERROR_RESPONSES
 from pomelobank_node._dialect import Dialect
 from pomelobank_node._http_messages import ERROR_HEADER, RUN_HEADER
 from pomelobank_node._requests import RequestError
-from pomelobank_node.callers._messages import HttpAnswer
+from pomelobank_node.callers._messages import HttpResponse
 
 _MS_PER_S = 1000
 
 
-def error_answer(
+def error_response(
     error: RequestError, dialect: Dialect, closes: bool = False
-) -> HttpAnswer:
+) -> HttpResponse:
     """Returns what a caller is told of an error.
 
     Args:
@@ -21,7 +21,7 @@
         dialect: How the caller reads times.
         closes: Whether the connection ends after it.
     """
-    answer = ANSWERS[error.kind]
+    answer = ERROR_RESPONSES[error.kind]
     retry_after_ms = error.retry_after_ms
     if retry_after_ms is None:
         retry_after_ms = answer.retry_after_ms
@@ -39,7 +39,7 @@
     if retry_after_ms:
         headers.append((b"retry-after", _seconds(retry_after_ms, dialect)))
     body = json.dumps(document).encode()
-    return HttpAnswer(answer.status, headers, body, closes=closes)
+    return HttpResponse(answer.status, headers, body, closes=closes)
 
 
 def _seconds(time_ms: int, dialect: Dialect) -> bytes:
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_exchange.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_exchange.py
@@ -6,7 +6,7 @@
 
 from pomelobank_core import ErrorKind
 from pomelobank_node._bodies import PartBuffer
-from pomelobank_node.callers._messages import HttpAnswer, HttpRequest
+from pomelobank_node.callers._messages import HttpRequest, HttpResponse
 
 
 @attrs.define(eq=False)
@@ -22,7 +22,7 @@
         size: Bytes of the body so far.
         upload: The rest of a long body.
         task: Finds the answer.
-        answer: The answer, once it is known.
+        response: The answer, once it is known.
     """
 
     method: str
@@ -33,7 +33,7 @@
     size: int = 0
     upload: PartBuffer | None = None
     task: asyncio.Task[None] | None = None
-    answer: HttpAnswer | None = None
+    response: HttpResponse | None = None
 
     def request(self) -> HttpRequest:
         """Returns the request with what has been read of its body."""
@@ -51,5 +51,5 @@
             self.task.cancel()
         if self.upload is not None:
             self.upload.fail(ErrorKind.BODY_INCOMPLETE)
-        if self.answer is not None and self.answer.rest is not None:
-            self.answer.rest.close()
+        if self.response is not None and self.response.rest is not None:
+            self.response.rest.close()
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
@@ -22,8 +22,8 @@
 from pomelobank_node._logging import request_id
 from pomelobank_node._requests import ForwardReply, RequestError, reply_error
 from pomelobank_node._tracing import RequestTrace, begin_trace
-from pomelobank_node.callers._answers import error_answer
-from pomelobank_node.callers._messages import HttpAnswer, HttpRequest
+from pomelobank_node.callers._error_responses import error_response
+from pomelobank_node.callers._messages import HttpRequest, HttpResponse
 
 _logger = logging.getLogger(__name__)
 
@@ -93,7 +93,7 @@
     lines: LogBudget = attrs.field(factory=LogBudget)
     draining: bool = False
 
-    async def __call__(self, request: HttpRequest) -> HttpAnswer:
+    async def __call__(self, request: HttpRequest) -> HttpResponse:
         """Answers one request."""
         begun_ms = self.clock.now_ms()
         trace = begin_trace()
@@ -101,7 +101,7 @@
             answer = await self._answer(request)
         except RequestError as error:
             self._note_refused(error, trace, begun_ms)
-            return error_answer(error, self.dialect, closes=self.draining)
+            return error_response(error, self.dialect, closes=self.draining)
         except asyncio.CancelledError:
             # The caller has gone, so there is nobody to answer.
             self.outcomes[ErrorKind.CANCELLED.value] += 1
@@ -110,7 +110,7 @@
         self._note_answered(answer, trace, begun_ms)
         return answer
 
-    async def _answer(self, request: HttpRequest) -> HttpAnswer:
+    async def _answer(self, request: HttpRequest) -> HttpResponse:
         if self.draining:
             raise RequestError(ErrorKind.DRAINING)
         caller = self._read(request)
@@ -186,20 +186,20 @@
             raise RequestError(ErrorKind.BAD_REQUEST)
         return service
 
-    def _from_reply(self, reply: ForwardReply, method: str) -> HttpAnswer:
+    def _from_reply(self, reply: ForwardReply, method: str) -> HttpResponse:
         headers = [(item.name, item.value) for item in reply.headers]
         rest = rest_of(reply)
         if reply.status in NO_BODY_STATUSES and method != _HEAD:
             headers = end_to_end(headers)
         if rest is None:
-            return HttpAnswer(
+            return HttpResponse(
                 reply.status, headers, reply.body, closes=self.draining
             )
         counted = CountedBody(rest, self.outcomes)
-        return HttpAnswer(reply.status, headers, reply.body, counted)
+        return HttpResponse(reply.status, headers, reply.body, counted)
 
     def _note_answered(
-        self, answer: HttpAnswer, trace: RequestTrace, begun_ms: int
+        self, answer: HttpResponse, trace: RequestTrace, begun_ms: int
     ) -> None:
         if answer.rest is None:
             self.outcomes[ANSWERED] += 1
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_messages.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_messages.py
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen(eq=False)
-class HttpAnswer:
+class HttpResponse:
     """An answer to be written.
 
     Attributes:
@@ -85,7 +85,9 @@
         return find_header(self.headers, CONTENT_LENGTH) is None
 
 
-def encode_answer(answer: HttpAnswer, head_only: bool, closes: bool) -> bytes:
+def encode_response(
+    answer: HttpResponse, head_only: bool, closes: bool
+) -> bytes:
     """Returns the bytes of an answer's head and of its body's first part.
 
     Args:
@@ -114,4 +116,4 @@
     return b"HTTP/1.1 %d \r\n" % status
 
 
-Handler = Callable[[HttpRequest], Awaitable[HttpAnswer]]
+Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
--- a/packages/pomelobank-node/src/pomelobank_node/callers/tests/test_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/tests/test_connection.py
@@ -10,9 +10,9 @@
 
 from pomelobank_node.callers import (
     CallerServer,
-    HttpAnswer,
     HttpLimits,
     HttpRequest,
+    HttpResponse,
 )
 from pomelobank_schema import parse_address
 
@@ -40,7 +40,7 @@
     def gate(self, path: bytes) -> asyncio.Event:
         return self.open.setdefault(path, asyncio.Event())
 
-    async def __call__(self, request: HttpRequest) -> HttpAnswer:
+    async def __call__(self, request: HttpRequest) -> HttpResponse:
         self.arrived.append(request.target)
         self.news.set()
         try:
@@ -54,7 +54,7 @@
             while part := await request.rest.read():
                 body += part
         self.bodies.append(body)
-        return HttpAnswer(200, [(b"x-path", request.target)], request.target)
+        return HttpResponse(200, [(b"x-path", request.target)], request.target)
 
     async def until(self, paths: list[bytes], seen: list[bytes]) -> None:
         async with asyncio.timeout(GUARD_S):
@@ -232,7 +232,7 @@
 class ClosingGate(Gate):
     """Marks every answer as closing the connection."""
 
-    async def __call__(self, request: HttpRequest) -> HttpAnswer:
+    async def __call__(self, request: HttpRequest) -> HttpResponse:
         return attrs.evolve(await super().__call__(request), closes=True)
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/parts.py
+++ b/packages/pomelobank-node/src/pomelobank_node/parts.py
@@ -7,15 +7,15 @@
 from pomelobank_node._requests import RequestError
 from pomelobank_node._sidecar import SidecarNode, SidecarPorts
 from pomelobank_node._upstream_client import (
-    UpstreamAnswer,
     UpstreamPool,
+    UpstreamResponse,
     encode_request,
 )
 from pomelobank_node.callers import (
     Handler,
-    HttpAnswer,
     HttpLimits,
     HttpRequest,
+    HttpResponse,
 )
 from pomelobank_node.published import (
     Document,
@@ -28,9 +28,9 @@
     "Dialect",
     "Document",
     "Handler",
-    "HttpAnswer",
     "HttpLimits",
     "HttpRequest",
+    "HttpResponse",
     "Log",
     "LogError",
     "LogErrorKind",
@@ -41,8 +41,8 @@
     "SidecarNode",
     "SidecarPorts",
     "SourceError",
-    "UpstreamAnswer",
     "UpstreamPool",
+    "UpstreamResponse",
     "encode_request",
     "run_program",
     "set_up_logging",
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_config_store.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_config_store.py
@@ -123,7 +123,7 @@
     assert recent.since(9, 5) == ()
     assert len(recent.since(10, 5)) == 5
     recent.add(recent.first_offset + MAX_RECENT_RECORDS, b"y" * 2**22)
-    assert recent.size <= MAX_RECENT_BYTES
+    assert recent.size_bytes <= MAX_RECENT_BYTES
     recent.add(5000, b"z")
     assert (recent.first_offset, recent.items) == (5000, [b"z"])
 
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_forwarder.py
@@ -211,7 +211,7 @@
 def _hedging(links: ScriptedLinks) -> Forwarder:
     forwarder = _forwarder(links)
     forwarder.hedging = Hedging()
-    forwarder.hedging.learn("stock", 1, 1000)
+    forwarder.hedging.add_response_time("stock", 1, 1000)
     return forwarder
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_gate.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_gate.py
@@ -37,7 +37,7 @@
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assert gate.outstanding == 1
-    gate.leave(first, WorkResult.ANSWERED)
+    gate.leave(first, WorkResult.RESPONDED)
     assert gate.idle.is_set()
 
 
@@ -51,7 +51,7 @@
     first = _ticket(gate)
     await gate.enter(first)
     task = await _waiting(gate, _ticket(gate))
-    gate.leave(first, WorkResult.ANSWERED)
+    gate.leave(first, WorkResult.RESPONDED)
     assert gate.admission.in_flight == 1
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_callers.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_callers.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from pomelobank_core import ANSWERS, ErrorKind, RunState
+from pomelobank_core import ERROR_RESPONSES, ErrorKind, RunState
 from pomelobank_node._requests import ForwardReply, reply_error
 from pomelobank_node.tests.virtual_time import VirtualTime, run_virtually
 from pomelobank_testing.experiment._mechanisms import ModelNode
@@ -113,7 +113,7 @@
     error = reply_error(reply)
     if error is None or error.kind is ErrorKind.INTERNAL:
         return False
-    return ANSWERS[error.kind].run_state is RunState.NOT_RUN
+    return ERROR_RESPONSES[error.kind].run_state is RunState.NOT_RUN
 
 
 def play(
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_target.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_target.py
@@ -7,7 +7,7 @@
 import attrs
 
 from pomelobank_core import ErrorKind
-from pomelobank_node.parts import RequestError, UpstreamAnswer
+from pomelobank_node.parts import RequestError, UpstreamResponse
 from pomelobank_testing.experiment._patterns import (
     Pattern,
     RouteLoad,
@@ -49,7 +49,7 @@
 
     async def request(
         self, data: bytes, deadline_s: float, *_: object, **__: object
-    ) -> UpstreamAnswer:
+    ) -> UpstreamResponse:
         """Runs one request.
 
         Args:
@@ -70,7 +70,9 @@
         except TimeoutError:
             raise RequestError(ErrorKind.DEADLINE_UNKNOWN) from None
 
-    async def _run(self, route: RouteLoad, deadline_s: float) -> UpstreamAnswer:
+    async def _run(
+        self, route: RouteLoad, deadline_s: float
+    ) -> UpstreamResponse:
         trouble = self._trouble()
         if trouble and self.seeded.random() < trouble.shed:
             await asyncio.sleep(_TURNED_AWAY_MS / _MS_PER_S)
@@ -81,8 +83,8 @@
             spread = self.seeded.uniform(1 - _SPREAD, 1 + _SPREAD)
             await asyncio.sleep(route.work_ms * times * spread / _MS_PER_S)
             if await self._calls_succeed(route, deadline_s):
-                return UpstreamAnswer(200, [], b"")
-        return UpstreamAnswer(500, [], b"")
+                return UpstreamResponse(200, [], b"")
+        return UpstreamResponse(500, [], b"")
 
     async def _calls_succeed(self, route: RouteLoad, deadline_s: float) -> bool:
         calls = route.calls
