--- a/packages/pomelobank-core/src/pomelobank_core/__init__.py
+++ b/packages/pomelobank-core/src/pomelobank_core/__init__.py
@@ -217,7 +217,7 @@
     from pomelobank_core._tickets import (
         Change,
         Queued,
-        Refused,
+        Rejected,
         Started,
         Ticket,
         TrafficClass,
@@ -304,7 +304,7 @@
     "ReadingOrder",
     "ReadingRole",
     "Recovery",
-    "Refused",
+    "Rejected",
     "Reply",
     "ResponseStore",
     "Retry",
@@ -564,7 +564,7 @@
     "_tickets": (
         "Change",
         "Queued",
-        "Refused",
+        "Rejected",
         "Started",
         "Ticket",
         "TrafficClass",
--- a/packages/pomelobank-core/src/pomelobank_core/_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_admission.py
@@ -10,7 +10,7 @@
 from pomelobank_core._concurrency import ConcurrencyLimit
 from pomelobank_core._errors import ErrorKind
 from pomelobank_core._latency import ServiceTimes
-from pomelobank_core._refusals import (
+from pomelobank_core._rejections import (
     MAX_RETRY_AFTER_MS,
 )
 from pomelobank_core._slot_sharing import (
@@ -133,7 +133,7 @@
         # the longest wait could otherwise never wait for its turn.
         planned_ms = min(room_ms, max(self.max_queue_ms, usual_ms))
         if wait_ms > planned_ms:
-            return self._refuse(ErrorKind.OVERLOADED, wait_ms)
+            return self._reject(ErrorKind.OVERLOADED, wait_ms)
         self.queues[ticket.traffic_class].append(ticket)
         return Queued()
 
@@ -141,13 +141,13 @@
         # One at a time: several would empty the target for each in turn and
         # take it from the requests that are no danger.
         if self.alone is not None:
-            return self._refuse(ErrorKind.OVERLOADED, self.max_queue_ms)
+            return self._reject(ErrorKind.OVERLOADED, self.max_queue_ms)
         # Everything else is held until the target is empty. Behind long work
         # that would idle it for seconds; the suspect comes back later.
         empty_ms = self._empty_ms()
         room_ms = min(ticket.deadline_ms - now_ms, LONGEST_HOLD_MS)
         if empty_ms > room_ms:
-            return self._refuse(ErrorKind.OVERLOADED, empty_ms)
+            return self._reject(ErrorKind.OVERLOADED, empty_ms)
         return self._hold_for(ticket, now_ms)
 
     def _empty_ms(self) -> float:
--- a/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
@@ -8,11 +8,11 @@
 
 from pomelobank_core._concurrency import ConcurrencyLimit, SlotLimit
 from pomelobank_core._errors import ErrorKind
-from pomelobank_core._refusals import MIN_RETRY_AFTER_MS, refusal
+from pomelobank_core._rejections import MIN_RETRY_AFTER_MS, rejection
 from pomelobank_core._tickets import (
     Change,
     Queued,
-    Refused,
+    Rejected,
     Started,
     Ticket,
     Verdict,
@@ -32,13 +32,13 @@
 
     Attributes:
         alone: The request that runs or waits to run alone, if any.
-        refused: Requests that were refused.
+        rejected: Requests that were refused.
         declined: Offers that would have waited longer than they were to.
         expired: Requests that were dropped unrun.
     """
 
     alone: Ticket | None = None
-    refused: int = 0
+    rejected: int = 0
     declined: int = 0
     expired: int = 0
 
@@ -129,7 +129,7 @@
         """
         ticket.offered_ms = now_ms
         if ticket.deadline_ms <= now_ms:
-            return self._refuse(ErrorKind.DEADLINE_NOT_RUN, MIN_RETRY_AFTER_MS)
+            return self._reject(ErrorKind.DEADLINE_NOT_RUN, MIN_RETRY_AFTER_MS)
         if ticket.alone:
             return self._offer_alone(ticket, now_ms)
         return self._offer_shared(ticket, now_ms)
@@ -216,6 +216,6 @@
         ticket.started_ms = now_ms
         self._occupy(ticket)
 
-    def _refuse(self, kind: ErrorKind, wait_ms: float) -> Refused:
-        self.refused += 1
-        return refusal(kind, wait_ms, self.seeded)
+    def _reject(self, kind: ErrorKind, wait_ms: float) -> Rejected:
+        self.rejected += 1
+        return rejection(kind, wait_ms, self.seeded)
--- a/packages/pomelobank-core/src/pomelobank_core/_claim_batcher.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claim_batcher.py
@@ -43,7 +43,7 @@
         appending: Whether an append is under way.
         append_ms: Recent time of an append, smoothed.
         paused_until_ms: No append before this time, after a failed one.
-        refused: Items turned away.
+        rejected: Items turned away.
     """
 
     rate: float
@@ -56,7 +56,7 @@
     append_ms: float = 5.0
     paused_until_ms: int = 0
     pause_ms: int = 0
-    refused: int = 0
+    rejected: int = 0
 
     def offer(
         self, item: ItemT, now_ms: int, patience_ms: int
@@ -72,11 +72,11 @@
             Nothing, or the ms after which coming back is worthwhile.
         """
         if now_ms < self.paused_until_ms:
-            self.refused += 1
+            self.rejected += 1
             return Failure(self.paused_until_ms - now_ms)
         wait_ms = self._expected_wait_ms(now_ms)
         if wait_ms > patience_ms:
-            self.refused += 1
+            self.rejected += 1
             return Failure(wait_ms)
         self.urgent.append(item)
         return Success(None)
@@ -157,7 +157,7 @@
         self.lazy_since_ms = now_ms
         waiting = list(self.urgent)
         self.urgent.clear()
-        self.refused += len(waiting)
+        self.rejected += len(waiting)
         return waiting
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
@@ -14,7 +14,7 @@
 from pomelobank_core._recent_work import RecentWork
 from pomelobank_core._tickets import (
     Queued,
-    Refused,
+    Rejected,
     Started,
     Ticket,
     Verdict,
@@ -112,7 +112,7 @@
         if self._would_give_up(ticket, wait_ms, now_ms) or (
             ticket.late and not self._may_wait_late(ticket, wait_ms, now_ms)
         ):
-            return self._refuse(
+            return self._reject(
                 ErrorKind.OVERLOADED, self._return_ms(ticket, now_ms)
             )
         self._take_in(ticket, now_ms)
@@ -251,7 +251,7 @@
         )
         room_ms = min(ticket.deadline_ms - now_ms, LONGEST_HOLD_MS)
         if self.alone is not None or empty_ms > room_ms:
-            return self._refuse(ErrorKind.OVERLOADED, LONGEST_HOLD_MS)
+            return self._reject(ErrorKind.OVERLOADED, LONGEST_HOLD_MS)
         return self._hold_for(ticket, now_ms)
 
     def _occupy(self, ticket: Ticket) -> None:
@@ -311,11 +311,11 @@
     def _may_be_late(self) -> int:
         return max(1, self.limit.current // LATE_PART)
 
-    def _decline(self, wait_ms: float) -> Refused:
+    def _decline(self, wait_ms: float) -> Rejected:
         # The sender compares the waits of several targets, so it is told this
         # one as it is and not spread over the time in which callers return.
         self.declined += 1
-        return Refused(ErrorKind.OVERLOADED, max(1, round(wait_ms)))
+        return Rejected(ErrorKind.OVERLOADED, max(1, round(wait_ms)))
 
     def _learn_time(
         self, ticket: Ticket, took_ms: float, now_ms: float
--- a/packages/pomelobank-core/src/pomelobank_core/_exchange.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_exchange.py
@@ -180,7 +180,7 @@
         exchange = self.exchanges.pop(request_id, None)
         return None if exchange is None else exchange.state
 
-    def refused_after(self, last_id: int) -> list[int]:
+    def on_stream_closing(self, last_id: int) -> list[int]:
         """Ends the requests that a stopping peer says it never took.
 
         Args:
--- a/packages/pomelobank-core/src/pomelobank_core/_observation.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_observation.py
@@ -129,7 +129,7 @@
     ) -> bool:
         """Tells whether a target works and has not refused the class lately."""
 
-    def turned_away(
+    def all_full_retry_after_ms(
         self, candidates: Candidates, traffic_class: str, now_ms: float
     ) -> int:
         """Returns when to come back if all are full; 0 if they are not."""
--- a/packages/pomelobank-core/src/pomelobank_core/_placing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_placing.py
@@ -174,7 +174,7 @@
             return False
         return not load.is_full(traffic_class, now_ms)
 
-    def turned_away(
+    def all_full_retry_after_ms(
         self, candidates: Candidates, traffic_class: str, now_ms: float
     ) -> int:
         """Returns when to come back if all are full; 0 if they are not.
--- a/packages/pomelobank-core/src/pomelobank_core/_refusals.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_rejections.py
@@ -3,14 +3,16 @@
 import random
 
 from pomelobank_core._errors import ErrorKind
-from pomelobank_core._tickets import Refused
+from pomelobank_core._tickets import Rejected
 
 # Sooner than this a caller would meet the same queue again.
 MIN_RETRY_AFTER_MS = 50
 MAX_RETRY_AFTER_MS = 30_000
 
 
-def refusal(kind: ErrorKind, wait_ms: float, seeded: random.Random) -> Refused:
+def rejection(
+    kind: ErrorKind, wait_ms: float, seeded: random.Random
+) -> Rejected:
     """Returns a refusal that spreads the callers' return.
 
     Told the same time, all those refused in one burst would come back as the
@@ -23,4 +25,4 @@
     """
     spread_ms = wait_ms * seeded.uniform(1.0, 2.0)
     within_ms = min(max(spread_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
-    return Refused(kind, int(within_ms))
+    return Rejected(kind, int(within_ms))
--- a/packages/pomelobank-core/src/pomelobank_core/_round_robin.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_round_robin.py
@@ -69,7 +69,7 @@
         """Returns True; it knows of no refusals."""
         return True
 
-    def turned_away(
+    def all_full_retry_after_ms(
         self, candidates: Candidates, traffic_class: str, now_ms: float
     ) -> int:
         """Returns 0; round-robin knows no load."""
--- a/packages/pomelobank-core/src/pomelobank_core/_swim.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim.py
@@ -96,7 +96,7 @@
         suspected: Suspicions that began, for the metrics.
         changes: Entries that were news since they were last taken.
         sync_bytes: Bytes of answers to comparisons in the current second.
-        sync_refusals: Comparisons answered in short, for the metrics.
+        throttled_syncs: Comparisons answered in short, for the metrics.
     """
 
     table: MemberTable
@@ -113,7 +113,7 @@
     suspected: int = 0
     sync_second: int = 0
     sync_bytes: int = 0
-    sync_refusals: int = 0
+    throttled_syncs: int = 0
     changes: list[MemberEntry] = attrs.field(factory=list)
     prober: Prober = attrs.field(init=False)
 
@@ -493,7 +493,7 @@
             self.sync_second = second
             self.sync_bytes = 0
         if self.sync_bytes and self.sync_bytes + size_bytes > SYNC_BYTES_PER_S:
-            self.sync_refusals += 1
+            self.throttled_syncs += 1
             return False
         self.sync_bytes += size_bytes
         return True
--- a/packages/pomelobank-core/src/pomelobank_core/_tickets.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_tickets.py
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen
-class Refused:
+class Rejected:
     """The request will not run.
 
     Attributes:
@@ -76,7 +76,7 @@
     retry_after_ms: int
 
 
-Verdict = Started | Queued | Refused
+Verdict = Started | Queued | Rejected
 
 
 @attrs.frozen
--- a/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
@@ -14,7 +14,7 @@
     MemberTable,
     Observation,
     Placing,
-    Refused,
+    Rejected,
     RetryPolicy,
     RoundRobin,
     Started,
@@ -163,7 +163,9 @@
     def _try(self, call: Call, entry: FleetEntry, tried: set[str]) -> None:
         now_ms = self.events.now_ms
         candidates = entry.index.of(UPSTREAM)
-        away_ms = entry.placing.turned_away(candidates, CLASS, now_ms)
+        away_ms = entry.placing.all_full_retry_after_ms(
+            candidates, CLASS, now_ms
+        )
         if away_ms and not tried:
             self._end(call, ErrorKind.OVERLOADED.value)
             return
@@ -191,7 +193,7 @@
             call.traffic_class, call.route, call.at_ms + call.timeout_ms
         )
         verdict = visit.target.admission.offer(visit.ticket, now_ms)
-        if isinstance(verdict, Refused):
+        if isinstance(verdict, Rejected):
             visit.retry_after_ms = verdict.retry_after_ms
             self._leave(visit, verdict.kind)
         elif isinstance(verdict, Started):
--- a/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
@@ -16,7 +16,7 @@
     FirstCome,
     FixedPartition,
     GuaranteedShared,
-    Refused,
+    Rejected,
     Started,
     Ticket,
     TrafficClass,
@@ -133,7 +133,7 @@
             call.traffic_class, call.route, now_ms + call.timeout_ms
         )
         verdict = self.admission.offer(ticket, now_ms)
-        if isinstance(verdict, Refused):
+        if isinstance(verdict, Rejected):
             self._end(call, verdict.kind.value)
         elif isinstance(verdict, Started):
             self._begin(ticket, call)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
@@ -11,7 +11,7 @@
     AdmissionPolicy,
     ConcurrencyLimit,
     ErrorKind,
-    Refused,
+    Rejected,
     Started,
     Ticket,
     TrafficClass,
@@ -186,7 +186,7 @@
         admission.offer(Ticket(INTERACTIVE, "r", 60_000), 0)
         for _ in range(1000)
     ]
-    refused = [item for item in verdicts if isinstance(item, Refused)]
+    refused = [item for item in verdicts if isinstance(item, Rejected)]
     assert {item.kind for item in refused} == {ErrorKind.OVERLOADED}
     assert all(200 <= item.retry_after_ms <= 500 for item in refused)
 
@@ -202,7 +202,7 @@
     admission.offer(later, 2)
     assert isinstance(
         admission.offer(Ticket(INTERACTIVE, "s", 10_000, alone=True), 3),
-        Refused,
+        Rejected,
     )
     change = admission.finish(innocent, WorkResult.RESPONDED, 5)
     assert change.started == (suspect,)
@@ -239,7 +239,7 @@
             verdict = admission.offer(ticket, now_ms)
             if isinstance(verdict, Started):
                 running.append(ticket)
-            elif not isinstance(verdict, Refused):
+            elif not isinstance(verdict, Rejected):
                 waiting.append(ticket)
         elif action == "finish" and running:
             ticket = running.pop(number % len(running))
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
@@ -9,7 +9,7 @@
     ConcurrencyLimit,
     DeadlineAdmission,
     Queued,
-    Refused,
+    Rejected,
     Started,
     Ticket,
     TrafficClass,
@@ -83,7 +83,7 @@
         verdict = self.admission.offer(ticket, now_ms)
         if isinstance(verdict, Started):
             self._run(ticket)
-        elif isinstance(verdict, Refused):
+        elif isinstance(verdict, Rejected):
             self._count(ticket, "refused")
             self.refused_after_ms.append(0.0)
 
@@ -272,7 +272,7 @@
     for _ in range(300):
         ticket = Ticket(TrafficClass.INTERACTIVE, "a", 1000, aim_at_ms=300)
         verdict = admission.offer(ticket, 0)
-        if isinstance(verdict, Refused):
+        if isinstance(verdict, Rejected):
             times.append(verdict.retry_after_ms)
     assert len(times) > 100
     assert max(times) > 1.5 * min(times)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_exchange.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_exchange.py
@@ -108,7 +108,7 @@
 
     @rule(last_id=IDS)
     def peer_stops(self, last_id: int) -> None:
-        refused = self.table.refused_after(last_id)
+        refused = self.table.on_stream_closing(last_id)
         assert refused == [item for item in self.states if item > last_id]
         for request_id in refused:
             del self.states[request_id]
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_placing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_placing.py
@@ -163,9 +163,11 @@
     assert not placing.has_room(entry, CLASS, 100)
     assert placing.has_room(entry, "batch", 100)
     assert placing.has_room(entry, CLASS, 300)
-    assert placing.turned_away(index.of("stock"), CLASS, 10) == 60_000
-    assert placing.turned_away(index.of("stock"), "batch", 10) == 0
-    assert placing.turned_away(index.of("stock"), CLASS, 30) == 0
+    assert (
+        placing.all_full_retry_after_ms(index.of("stock"), CLASS, 10) == 60_000
+    )
+    assert placing.all_full_retry_after_ms(index.of("stock"), "batch", 10) == 0
+    assert placing.all_full_retry_after_ms(index.of("stock"), CLASS, 30) == 0
 
 
 def test_new_target_gets_its_part_slowly() -> None:
--- a/packages/pomelobank-node/src/pomelobank_node/_claims.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims.py
@@ -104,9 +104,9 @@
         return sum(len(item.table.claims) for item in self.workers.values())
 
     @property
-    def refused(self) -> int:
+    def rejected(self) -> int:
         """Claims refused for want of budget or log, for the metrics."""
-        return sum(item.batcher.refused for item in self.workers.values())
+        return sum(item.batcher.rejected for item in self.workers.values())
 
     async def start(self) -> None:
         """Starts looking for idle shards."""
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_writer.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_writer.py
@@ -124,7 +124,7 @@
         # hold the key for good. Releases and completions may be repeated.
         again = [i for i in items if not isinstance(i, ClaimEntry)]
         refused = self.batcher.failed(self.clock.now_ms(), again)
-        if error.kind is LogErrorKind.REFUSED:
+        if error.kind is LogErrorKind.REJECTED:
             refused += [i for i in items if isinstance(i, ClaimEntry)]
         for item in refused:
             if isinstance(item, ClaimEntry):
--- a/packages/pomelobank-node/src/pomelobank_node/_crash_reports.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_reports.py
@@ -53,7 +53,7 @@
         clock: Tells the time.
         seen: Ids of reports that were taken, the oldest first.
         sent: Reports sent, for the metrics.
-        refused: Requests refused as quarantined, for the metrics.
+        rejected: Requests refused as quarantined, for the metrics.
     """
 
     members: MemberTable
@@ -63,7 +63,7 @@
     seen: dict[bytes, None] = attrs.field(factory=dict)
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
     sent: int = 0
-    refused: int = 0
+    rejected: int = 0
 
     def check(self, request: ForwardRequest) -> Standing:
         """Returns how a request may run.
@@ -78,7 +78,7 @@
         now_ms = self.clock.now_ms()
         standing = self.table.standing(print_, now_ms)
         if standing is Standing.QUARANTINED:
-            self.refused += 1
+            self.rejected += 1
             after_ms = self.table.retry_after_ms(print_, now_ms)
             raise RequestError(ErrorKind.QUARANTINED, after_ms)
         return standing
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -104,7 +104,7 @@
         hedging: Decides when an overdue request is sent twice; None for never.
         hedged: Requests that were sent twice, for the metrics.
         hedges_won: Those of them that the second target answered first.
-        turned_away: Requests refused here because all targets just refused.
+        rejected: Requests refused here because all targets just refused.
     """
 
     members: MemberTable
@@ -118,7 +118,7 @@
     hold_back_bytes: int = HOLD_BACK_BYTES
     line_bytes_per_ms: float = math.inf
     hedging: Hedging | None = None
-    turned_away: int = 0
+    rejected: int = 0
     hedged: int = 0
     hedges_won: int = 0
 
@@ -208,11 +208,11 @@
 
     def _turn_away(self, request: ForwardRequest, now_ms: int) -> None:
         candidates = self.index.of(request.upstream)
-        retry_after_ms = self.placing.turned_away(
+        retry_after_ms = self.placing.all_full_retry_after_ms(
             candidates, load_class(request), now_ms
         )
         if retry_after_ms:
-            self.turned_away += 1
+            self.rejected += 1
             raise RequestError(ErrorKind.OVERLOADED, retry_after_ms)
 
     def _place(self, journey: Journey) -> MemberEntry | None:
--- a/packages/pomelobank-node/src/pomelobank_node/_gate.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_gate.py
@@ -16,7 +16,7 @@
     FirstCome,
     FixedPartition,
     GuaranteedShared,
-    Refused,
+    Rejected,
     SlotLimit,
     Started,
     Ticket,
@@ -109,7 +109,7 @@
             RequestError: OVERLOADED or DEADLINE_NOT_RUN; it has not run.
         """
         verdict = self.admission.offer(ticket, self.clock.now_ms())
-        if isinstance(verdict, Refused):
+        if isinstance(verdict, Rejected):
             raise RequestError(verdict.kind, verdict.retry_after_ms)
         self.idle.clear()
         if isinstance(verdict, Started):
@@ -121,7 +121,7 @@
         now_ms = self.clock.now_ms()
         self._carry_out(self.admission.finish(ticket, result, now_ms))
 
-    def expel(self) -> None:
+    def reject_waiting(self) -> None:
         """Sends away what waits, because the target takes nothing more."""
         for ticket in list(self.waiting):
             if ticket.started_ms is None:
--- a/packages/pomelobank-node/src/pomelobank_node/_log.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log.py
@@ -14,12 +14,12 @@
     """How a call to the log failed.
 
     Attributes:
-        REFUSED: The log said that it did nothing.
+        REJECTED: The log said that it did nothing.
         UNKNOWN: No answer came; an append may have taken effect.
         TRIMMED: The records asked for are no longer kept.
     """
 
-    REFUSED = "refused"
+    REJECTED = "refused"
     UNKNOWN = "unknown"
     TRIMMED = "trimmed"
 
@@ -76,7 +76,7 @@
         """Appends one record and returns its offset.
 
         Raises:
-            LogError: REFUSED where it was not appended for certain, UNKNOWN
+            LogError: REJECTED where it was not appended for certain, UNKNOWN
                 where it may have been.
         """
 
--- a/packages/pomelobank-node/src/pomelobank_node/_log_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log_client.py
@@ -55,7 +55,7 @@
             The record's offset.
 
         Raises:
-            LogError: REFUSED where it was not appended for certain, UNKNOWN
+            LogError: REJECTED where it was not appended for certain, UNKNOWN
                 where it may have been.
         """
         self.appends += 1
@@ -116,7 +116,7 @@
             ) as response:
                 return response.status, await response.read()
         except aiohttp.ClientConnectorError as error:
-            raise LogError(LogErrorKind.REFUSED, str(error)) from error
+            raise LogError(LogErrorKind.REJECTED, str(error)) from error
         except (TimeoutError, aiohttp.ClientError) as error:
             raise LogError(
                 LogErrorKind.UNKNOWN, f"{type(error).__name__}: {error}"
@@ -125,5 +125,5 @@
 
 def _refusal(status: int) -> LogErrorKind:
     if status == _HTTP_UNAVAILABLE:
-        return LogErrorKind.REFUSED
+        return LogErrorKind.REJECTED
     return LogErrorKind.UNKNOWN
--- a/packages/pomelobank-node/src/pomelobank_node/_observations.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_observations.py
@@ -232,7 +232,7 @@
     yield listed.MEMBERS_PAUSES, lambda: swim.pauses
     yield listed.PEER_BYTES_SENT, lambda: peer_bytes(node)
     yield listed.PEER_LATE_FRAMES, lambda: node.links.late_replies
-    yield listed.PEER_REFUSED_STREAMS, lambda: node.peers.refused_streams
+    yield listed.PEER_REFUSED_STREAMS, lambda: node.peers.rejected_streams
 
 
 def _target(node: ObservedNode) -> Readings:
@@ -247,7 +247,7 @@
     yield listed.TARGET_WAITS, lambda: gate.waits
     yield listed.TARGET_WAITED, lambda: gate.waited_ms
     yield listed.TARGET_LIMIT, lambda: admission.limit.current
-    yield listed.TARGET_REFUSED, lambda: admission.refused
+    yield listed.TARGET_REFUSED, lambda: admission.rejected
     yield listed.TARGET_EXPIRED, lambda: admission.expired
     yield listed.TARGET_DECLINED, lambda: admission.declined
     yield listed.TARGET_CRASHES, lambda: owner.watch.crashes
@@ -263,7 +263,7 @@
     yield listed.HEDGED, lambda: forwarder.hedged
     yield listed.HEDGES_WON, lambda: forwarder.hedges_won
     yield listed.LINES_DROPPED, lambda: ingress.lines.dropped_total
-    yield listed.TURNED_AWAY, lambda: node.forwarder.turned_away
+    yield listed.TURNED_AWAY, lambda: node.forwarder.rejected
     yield (
         listed.RETRIES,
         lambda: {name: item.spent for name, item in budgets.items()},
@@ -284,12 +284,12 @@
 def _quarantine(node: ObservedNode) -> Readings:
     reports = node.crash_reports
     yield listed.SUSPECT_REQUESTS, lambda: len(reports.table.entries)
-    yield listed.QUARANTINE_REFUSED, lambda: reports.refused
+    yield listed.QUARANTINE_REFUSED, lambda: reports.rejected
 
 
 def _claims(node: ProductParts) -> Readings:
     claims = node.claims
     yield listed.CLAIM_KEYS, lambda: claims.keys
     yield listed.CLAIMS_FORWARDED, lambda: claims.forwarded
-    yield listed.CLAIMS_REFUSED, lambda: claims.refused
+    yield listed.CLAIMS_REFUSED, lambda: claims.rejected
     yield listed.CLAIM_ANSWER_SIZE, lambda: claims.responses.stored_bytes
--- a/packages/pomelobank-node/src/pomelobank_node/_operator.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_operator.py
@@ -127,7 +127,7 @@
         try:
             await self.log.append(CONFIG_STREAM, encode(record))
         except LogError as error:
-            if error.kind is LogErrorKind.REFUSED:
+            if error.kind is LogErrorKind.REJECTED:
                 return _unknown(record.change_id, _LOG_REFUSED)
         # Here the append took effect, or its answer was lost and nobody can
         # know: only the log itself tells. Reading it at once also makes this
--- a/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
@@ -266,7 +266,7 @@
     def refuse_after(self, last_id: int) -> None:
         """Ends the requests that a stopping peer did not take."""
         self.closing = True
-        for request_id in self.table.refused_after(last_id):
+        for request_id in self.table.on_stream_closing(last_id):
             self.calls.pop(request_id).fail(ErrorKind.DRAINING)
 
     def _is_wanted(self, verdict: FrameVerdict) -> bool:
--- a/packages/pomelobank-node/src/pomelobank_node/_owner.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_owner.py
@@ -270,10 +270,10 @@
         usual_ms = self.gate.usual_ms_of(ticket.route)
         return took_ms <= max(_QUICK_MS, usual_ms / 2)
 
-    def refuse(self) -> None:
+    def reject_new_requests(self) -> None:
         """Takes no new request; what still waits for a slot goes elsewhere."""
         self.draining = True
-        self.gate.expel()
+        self.gate.reject_waiting()
 
     async def drain(self, timeout_ms: int) -> None:
         """Takes no new request and waits for those in flight.
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
@@ -366,7 +366,7 @@
             are left to the targets.
         address: Address that is really used, once it listens.
         connections: Accepted streams and their tasks.
-        refused_streams: Streams that were closed because there were too many.
+        rejected_streams: Streams that were closed because there were too many.
         closed_bytes: Bytes sent on streams that have ended.
     """
 
@@ -380,7 +380,7 @@
     connections: dict[PeerConnection, asyncio.Task[None]] = attrs.field(
         factory=dict
     )
-    refused_streams: int = 0
+    rejected_streams: int = 0
     closed_bytes: int = 0
 
     async def start(self) -> None:
@@ -398,7 +398,7 @@
 
     def _accept(self, stream: FrameStream) -> None:
         if len(self.connections) >= MAX_STREAMS:
-            self.refused_streams += 1
+            self.rejected_streams += 1
             stream.abort()
             return
         connection = PeerConnection(
--- a/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
@@ -37,7 +37,7 @@
 from pomelobank_node._peer_links import PeerLinks
 from pomelobank_node._peer_server import PeerServer
 from pomelobank_node._stop_turn import StopTurn
-from pomelobank_node._target_watch import REFUSE_AFTER_MS, TargetWatch
+from pomelobank_node._target_watch import REJECT_AFTER_MS, TargetWatch
 from pomelobank_node.callers import CallerServer, Handler, Ingress
 from pomelobank_node.published import (
     Decoder,
@@ -146,7 +146,7 @@
             self.clock,
             DepartureLog(ports.log, settings.first_start),
             TargetLease(settings.membership.target_lease_ms),
-            int(min(REFUSE_AFTER_MS, settings.target.drain_ms / 2)),
+            int(min(REJECT_AFTER_MS, settings.target.drain_ms / 2)),
         )
         self._build_request_path()
         self._build_servers()
--- a/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
@@ -27,7 +27,7 @@
 # Every member is told of a drain at once and hears it by gossip as well; one
 # that sends work later than this is refused as not run, so that the target
 # gets no new work however far the news went.
-REFUSE_AFTER_MS = 1000
+REJECT_AFTER_MS = 1000
 _MS_PER_S = 1000
 
 
@@ -41,7 +41,7 @@
         clock: Tells the time.
         departures: Targets that have said that they leave.
         lease: Decides.
-        refuse_after_ms: Time from a drain on after which nothing new is taken.
+        reject_after_ms: Time from a drain on after which nothing new is taken.
     """
 
     owner: Owner
@@ -49,7 +49,7 @@
     clock: Clock
     departures: DepartureLog
     lease: TargetLease
-    refuse_after_ms: int = REFUSE_AFTER_MS
+    reject_after_ms: int = REJECT_AFTER_MS
     refusing: asyncio.Task[None] | None = None
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
@@ -222,8 +222,8 @@
         }
 
     async def _refuse_later(self) -> None:
-        await asyncio.sleep(self.refuse_after_ms / _MS_PER_S)
-        self.owner.refuse()
+        await asyncio.sleep(self.reject_after_ms / _MS_PER_S)
+        self.owner.reject_new_requests()
         _logger.info("target.refuses", extra=self._target_fields())
 
     def _check(self, now_ms: int) -> None:
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_server.py
@@ -42,7 +42,8 @@
         address: Address that is really used, once it listens.
         draining: Whether connections end after the answers under way.
         connections: Open connections.
-        refused: Connections that were one too many, for the metrics.
+        rejected_connections: Connections that were one too many, for the
+            metrics.
     """
 
     listen: str
@@ -55,7 +56,7 @@
     address: str = ""
     draining: bool = False
     connections: set[HttpConnection] = attrs.field(factory=set)
-    refused: int = 0
+    rejected_connections: int = 0
     server: asyncio.Server | None = None
     sweeper: asyncio.Task[None] | None = None
 
@@ -97,7 +98,7 @@
     def opened(self, connection: HttpConnection) -> bool:
         """Takes a new connection; returns whether there is room for it."""
         if len(self.connections) >= _MAX_CONNECTIONS:
-            self.refused += 1
+            self.rejected_connections += 1
             return False
         self.connections.add(connection)
         return True
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_fleet.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_fleet.py
@@ -142,7 +142,7 @@
     for index in range(1, 60):
         fleet.join(address(index), address(0))
     fleet.run_until(fleet.all_ready, MINUTE_MS)
-    assert fleet.members[address(0)].sync_refusals > 0
+    assert fleet.members[address(0)].throttled_syncs > 0
 
 
 def herd(count: int) -> MemberFleet:
