--- a/packages/pomelobank-core/src/pomelobank_core/__init__.py
+++ b/packages/pomelobank-core/src/pomelobank_core/__init__.py
@@ -101,6 +101,12 @@
     from pomelobank_core._last_requests import (
         LastRequests,
     )
+    from pomelobank_core._load_balancer import (
+        LoadBalancer,
+        RequestOutcome,
+        TargetResult,
+        target_result,
+    )
     from pomelobank_core._members import (
         EntryRank,
         MemberState,
@@ -116,19 +122,9 @@
         operation_object,
         snapshot_object_value,
     )
-    from pomelobank_core._observation import (
-        Observation,
-        Placing,
-        TargetResult,
-        target_result,
-    )
     from pomelobank_core._patience import (
         CallerPatience,
     )
-    from pomelobank_core._placing import (
-        TwoChoices,
-        isolation_target,
-    )
     from pomelobank_core._quarantine import (
         POINTS_NODE_LOST,
         POINTS_TARGET_LOST,
@@ -224,6 +220,10 @@
         Verdict,
         WorkResult,
     )
+    from pomelobank_core._two_choices import (
+        TwoChoices,
+        isolation_target,
+    )
     from pomelobank_core._validation import (
         Problem,
         ProblemKind,
@@ -282,6 +282,7 @@
     "GuaranteedShared",
     "Hedging",
     "LastRequests",
+    "LoadBalancer",
     "ManualClock",
     "MemberState",
     "MemberTable",
@@ -289,8 +290,6 @@
     "Neighbours",
     "ObjectKey",
     "ObjectKind",
-    "Observation",
-    "Placing",
     "Problem",
     "ProblemKind",
     "PullRecords",
@@ -306,6 +305,7 @@
     "Recovery",
     "Rejected",
     "Reply",
+    "RequestOutcome",
     "ResponseStore",
     "Retry",
     "RetryBudget",
@@ -453,6 +453,12 @@
     "_floor": ("VersionFloor",),
     "_hedging": ("Hedging",),
     "_last_requests": ("LastRequests",),
+    "_load_balancer": (
+        "LoadBalancer",
+        "RequestOutcome",
+        "TargetResult",
+        "target_result",
+    ),
     "_members": (
         "EntryRank",
         "MemberState",
@@ -468,17 +474,7 @@
         "operation_object",
         "snapshot_object_value",
     ),
-    "_observation": (
-        "Observation",
-        "Placing",
-        "TargetResult",
-        "target_result",
-    ),
     "_patience": ("CallerPatience",),
-    "_placing": (
-        "TwoChoices",
-        "isolation_target",
-    ),
     "_quarantine": (
         "Evidence",
         "POINTS_NODE_LOST",
@@ -571,6 +567,10 @@
         "Verdict",
         "WorkResult",
     ),
+    "_two_choices": (
+        "TwoChoices",
+        "isolation_target",
+    ),
     "_validation": (
         "Problem",
         "ProblemKind",
--- a/packages/pomelobank-core/src/pomelobank_core/_candidates.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_candidates.py
@@ -14,7 +14,7 @@
         local: Those in the node's own data centre.
         remote: All others.
         targets: Every target.
-        most_slots: Slots of the target that has most.
+        max_slots: Slots of the target that has most.
     """
 
     local: tuple[MemberEntry, ...] = ()
@@ -25,9 +25,9 @@
     def _every_target(self) -> tuple[MemberEntry, ...]:
         return self.local + self.remote
 
-    most_slots: int = attrs.field(init=False)
+    max_slots: int = attrs.field(init=False)
 
-    @most_slots.default
+    @max_slots.default
     def _most_slots(self) -> int:
         return max((entry.slots for entry in self.targets), default=0)
 
--- a/packages/pomelobank-core/src/pomelobank_core/_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claims.py
@@ -305,7 +305,7 @@
         """Returns how long new keys must wait, 0 where they need not."""
         return max(0, self.complete_from_ms - now_ms)
 
-    def wait_for_room_ms(self, now_ms: int, limit: int) -> int:
+    def capacity_wait_ms(self, now_ms: int, limit: int) -> int:
         """Returns how long a new key must wait for room, 0 where there is some.
 
         Args:
--- a/packages/pomelobank-core/src/pomelobank_core/_ejection.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_ejection.py
@@ -49,18 +49,18 @@
             return True
         return now_ms >= self.until_ms and not self.probing
 
-    def sent(self) -> None:
+    def on_sent(self) -> None:
         """Notes that a request is sent there."""
         if self.ejected:
             self.probing = True
 
-    def succeeded(self) -> bool:
+    def on_success(self) -> bool:
         """Takes an answer; returns whether this ended an ejection."""
         was_ejected = self.ejected
         self.clear()
         return was_ejected
 
-    def failed(
+    def on_failure(
         self, now_ms: float, may_eject: bool, seeded: random.Random
     ) -> bool:
         """Takes a failure.
@@ -87,7 +87,7 @@
         self.pauses = min(self.pauses + 1, LONGEST_PAUSE_MS.bit_length())
         return newly
 
-    def abandoned(self) -> None:
+    def on_abandoned(self) -> None:
         """Takes the end of a request that tells nothing about the target."""
         self.probing = False
 
--- a/packages/pomelobank-core/src/pomelobank_core/_observation.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_load_balancer.py
@@ -17,8 +17,8 @@
     Attributes:
         RESPONDED: It works.
         FULL: It has no room just now.
-        BUSY: A request would wait there longer than it was offered to.
-        LEAVING: It takes no more requests.
+        WOULD_WAIT: A request would wait there longer than it was offered to.
+        NOT_ACCEPTING: It takes no more requests.
         SLOW: It has not answered within a multiple of the usual time.
         FAILED: It could not be reached, or it was lost on the way.
         NEUTRAL: Nothing; the caller went away or the request was wrong.
@@ -26,8 +26,8 @@
 
     RESPONDED = "answered"
     FULL = "full"
-    BUSY = "busy"
-    LEAVING = "leaving"
+    WOULD_WAIT = "busy"
+    NOT_ACCEPTING = "leaving"
     SLOW = "slow"
     FAILED = "failed"
     NEUTRAL = "neutral"
@@ -35,14 +35,14 @@
 
 TARGET_RESULTS: dict[ErrorKind, TargetResult] = {
     ErrorKind.OVERLOADED: TargetResult.FULL,
-    ErrorKind.DRAINING: TargetResult.LEAVING,
-    ErrorKind.NO_TARGET: TargetResult.LEAVING,
-    ErrorKind.NOT_READY: TargetResult.LEAVING,
+    ErrorKind.DRAINING: TargetResult.NOT_ACCEPTING,
+    ErrorKind.NO_TARGET: TargetResult.NOT_ACCEPTING,
+    ErrorKind.NOT_READY: TargetResult.NOT_ACCEPTING,
     ErrorKind.PEER_UNREACHABLE: TargetResult.FAILED,
     ErrorKind.PEER_LOST: TargetResult.FAILED,
     ErrorKind.UPSTREAM_UNREACHABLE: TargetResult.FAILED,
     ErrorKind.TARGET_REFUSED: TargetResult.FULL,
-    ErrorKind.TARGET_REPLACED: TargetResult.LEAVING,
+    ErrorKind.TARGET_REPLACED: TargetResult.NOT_ACCEPTING,
     ErrorKind.UPSTREAM_LOST: TargetResult.FAILED,
     ErrorKind.ANSWER_TRUNCATED: TargetResult.FAILED,
 }
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen
-class Observation:
+class RequestOutcome:
     """The end of a request, as placing sees it.
 
     Attributes:
@@ -90,10 +90,10 @@
     aim_ms: float = 0.0
 
 
-class Placing(Protocol):
+class LoadBalancer(Protocol):
     """Chooses targets and learns from what becomes of the requests."""
 
-    def place(
+    def pick(
         self,
         candidates: Candidates,
         tried: AbstractSet[str],
@@ -102,24 +102,24 @@
     ) -> MemberEntry | None:
         """Returns a target that was not tried yet, None without any."""
 
-    def place_several(
+    def pick_several(
         self, candidates: Candidates, count: int, now_ms: float
     ) -> list[MemberEntry]:
         """Returns targets for a request that waits at several of them."""
 
-    def sent(self, target: MemberEntry, now_ms: float) -> None:
+    def on_sent(self, target: MemberEntry, now_ms: float) -> None:
         """Notes that a request is sent to a target."""
 
-    def ended(
+    def on_ended(
         self,
         target: MemberEntry,
         candidates: Candidates,
-        seen: Observation,
+        seen: RequestOutcome,
         now_ms: float,
     ) -> None:
         """Takes the end of a request that was sent."""
 
-    def has_room(
+    def has_capacity(
         self, target: MemberEntry, traffic_class: str, now_ms: float
     ) -> bool:
         """Tells whether a target plausibly has room for one more request."""
--- a/packages/pomelobank-core/src/pomelobank_core/_round_robin.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_round_robin.py
@@ -5,7 +5,7 @@
 import attrs
 
 from pomelobank_core._candidates import Candidates
-from pomelobank_core._observation import Observation
+from pomelobank_core._load_balancer import RequestOutcome
 from pomelobank_schema.generated.peer import MemberEntry
 
 
@@ -21,7 +21,7 @@
 
     turns: dict[str, int] = attrs.field(factory=dict)
 
-    def place(
+    def pick(
         self,
         candidates: Candidates,
         tried: AbstractSet[str],
@@ -39,25 +39,25 @@
         self.turns[upstream] = turn + 1
         return untried[turn % len(untried)]
 
-    def place_several(
+    def pick_several(
         self, candidates: Candidates, count: int, now_ms: float
     ) -> list[MemberEntry]:
         """Returns the first targets, whatever their load."""
         return list(candidates.targets[:count])
 
-    def sent(self, target: MemberEntry, now_ms: float) -> None:
+    def on_sent(self, target: MemberEntry, now_ms: float) -> None:
         """Does nothing; the turn does not depend on it."""
 
-    def ended(
+    def on_ended(
         self,
         target: MemberEntry,
         candidates: Candidates,
-        seen: Observation,
+        seen: RequestOutcome,
         now_ms: float,
     ) -> None:
         """Does nothing; the turn does not depend on it."""
 
-    def has_room(
+    def has_capacity(
         self, target: MemberEntry, traffic_class: str, now_ms: float
     ) -> bool:
         """Returns True; round-robin knows no load."""
--- a/packages/pomelobank-core/src/pomelobank_core/_target_load.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_target_load.py
@@ -36,20 +36,20 @@
     """How fast a target that is new gets its full part of the work.
 
     Attributes:
-        start: Part of its slots at once.
+        start_fraction: Part of its slots at once.
         length_ms: Time until it gets all of them.
     """
 
-    start: float = RAMP_START
+    start_fraction: float = RAMP_START
     length_ms: float = RAMP_MS
 
-    def part(self, age_ms: float) -> float:
+    def fraction(self, age_ms: float) -> float:
         """Returns the part of its slots that it is trusted with.
 
-        >>> Ramp(start=0.1, length_ms=1000).part(500)
+        >>> Ramp(start_fraction=0.1, length_ms=1000).fraction(500)
         0.5
         """
-        return min(1.0, max(self.start, age_ms / self.length_ms))
+        return min(1.0, max(self.start_fraction, age_ms / self.length_ms))
 
 
 @attrs.define(eq=False)
@@ -58,51 +58,54 @@
 
     Attributes:
         incarnation: Incarnation of its node that this is about.
-        own: Requests of this node that are there.
-        others: Requests of other nodes that were there at the last report.
+        own_requests: Requests of this node that are there.
+        other_requests: Requests of other nodes that were there at the last
+            report.
         reported_ms: When that was.
-        pace: Recent time to an answer, as a part of the objective.
-        full: Its last refusal of each class; batch work that finds no room
-            says nothing about the slots kept for look-ups.
-        leaving_until_ms: Until when it is held to take no more requests.
+        latency_ratio: Recent time to an answer, as a part of the objective.
+        full_hints: Its last refusal of each class; batch work that finds no
+            room says nothing about the slots kept for look-ups.
+        not_accepting_until_ms: Until when it is held to take no more requests.
         ramp_from_ms: When it came, or came back.
         ramp: How fast it gets its full part then.
         ejection: What failed there.
     """
 
     incarnation: int
-    own: int = 0
-    others: int = 0
+    own_requests: int = 0
+    other_requests: int = 0
     reported_ms: float = -math.inf
-    pace: Pace = attrs.field(factory=Pace)
-    full: dict[str, FullHint] = attrs.field(factory=dict)
-    leaving_until_ms: float = 0.0
+    latency_ratio: Pace = attrs.field(factory=Pace)
+    full_hints: dict[str, FullHint] = attrs.field(factory=dict)
+    not_accepting_until_ms: float = 0.0
     ramp_from_ms: float = -math.inf
     ramp: "Ramp" = attrs.field(factory=lambda: Ramp())
     ejection: Ejection = attrs.field(factory=Ejection)
 
-    def load(self, now_ms: float) -> float:
+    def estimated_requests(self, now_ms: float) -> float:
         """Returns the requests that are probably there; reports fade."""
         age_ms = now_ms - self.reported_ms
         fresh = max(0.0, 1.0 - age_ms / REPORT_LIFE_MS)
-        return self.own + self.others * fresh
+        return self.own_requests + self.other_requests * fresh
 
     def is_full(self, traffic_class: str, now_ms: float) -> bool:
         """Tells whether it refused a class lately, or takes nothing more."""
-        if now_ms < self.leaving_until_ms:
+        if now_ms < self.not_accepting_until_ms:
             return True
-        hint = self.full.get(traffic_class)
+        hint = self.full_hints.get(traffic_class)
         return hint is not None and now_ms < hint.until_ms
 
-    def room(self, slots: int, now_ms: float) -> float:
+    def usable_slots(self, slots: int, now_ms: float) -> float:
         """Returns the slots that it is trusted with after its start."""
-        return max(1.0, slots * self.ramp.part(now_ms - self.ramp_from_ms))
+        return max(1.0, slots * self.ramp.fraction(now_ms - self.ramp_from_ms))
 
-    def score(self, slots: int, pace: float, now_ms: float) -> float:
+    def cost(self, slots: int, pace: float, now_ms: float) -> float:
         """Returns how unattractive it is.
 
         Of a target that many nodes use, each node knows a small part of the
         load only; its pace tells the rest.
         """
-        used = (self.load(now_ms) + 1) / self.room(slots, now_ms)
+        used = (self.estimated_requests(now_ms) + 1) / self.usable_slots(
+            slots, now_ms
+        )
         return used * pace
--- a/packages/pomelobank-core/src/pomelobank_core/_placing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
@@ -10,7 +10,7 @@
 
 from pomelobank_core._candidates import Candidates
 from pomelobank_core._ejection import may_eject
-from pomelobank_core._observation import Observation, TargetResult
+from pomelobank_core._load_balancer import RequestOutcome, TargetResult
 from pomelobank_core._pace import RELAXED, Objectives, Pace
 from pomelobank_core._target_load import FullHint, Ramp, TargetLoad
 from pomelobank_schema.generated.peer import MemberEntry
@@ -52,22 +52,22 @@
         ramp: How fast new targets get their full part.
         loads: Known loads, by node.
         ejections: How often a target was ejected.
-        spills: Requests that left the data centre though it has a target.
+        overflows: Requests that left the data centre though it has a target.
         known: Targets of each upstream at its last placing.
         objectives: Tells how fast an answer was.
-        paces: How fast answers come, by upstream and data centre.
+        latency_ratios: How fast answers come, by upstream and data centre.
     """
 
     seeded: random.Random = attrs.field(factory=random.Random)
     ramp: Ramp = attrs.field(factory=Ramp)
     loads: dict[str, TargetLoad] = attrs.field(factory=dict)
     ejections: int = 0
-    spills: int = 0
+    overflows: int = 0
     known: dict[str, Candidates] = attrs.field(factory=dict)
     objectives: Objectives = attrs.field(factory=Objectives)
-    paces: dict[tuple[str, str], Pace] = attrs.field(factory=dict)
+    latency_ratios: dict[tuple[str, str], Pace] = attrs.field(factory=dict)
 
-    def place(
+    def pick(
         self,
         candidates: Candidates,
         tried: AbstractSet[str],
@@ -95,11 +95,11 @@
         if near is None or far is None:
             return near or far or self._any(candidates, tried)
         if self._is_better(far, near, traffic_class, now_ms):
-            self.spills += 1
+            self.overflows += 1
             return far
         return near
 
-    def place_several(
+    def pick_several(
         self,
         candidates: Candidates,
         count: int,
@@ -121,17 +121,17 @@
             found += self.seeded.sample(usable, wanted)
         return found
 
-    def sent(self, target: MemberEntry, now_ms: float) -> None:
+    def on_sent(self, target: MemberEntry, now_ms: float) -> None:
         """Notes that a request is sent to a target."""
         load = self._load(target)
-        load.own += 1
-        load.ejection.sent()
+        load.own_requests += 1
+        load.ejection.on_sent()
 
-    def ended(
+    def on_ended(
         self,
         target: MemberEntry,
         candidates: Candidates,
-        seen: Observation,
+        seen: RequestOutcome,
         now_ms: float,
     ) -> None:
         """Takes the end of a request that was sent.
@@ -143,23 +143,25 @@
             now_ms: Current time.
         """
         load = self._load(target)
-        load.own = max(0, load.own - 1)
+        load.own_requests = max(0, load.own_requests - 1)
         if seen.result is TargetResult.RESPONDED:
             self._learn_pace(target, load, seen, now_ms)
-            load.others = max(0, seen.outstanding - load.own - 1)
+            load.other_requests = max(
+                0, seen.outstanding - load.own_requests - 1
+            )
             load.reported_ms = now_ms
-            if load.ejection.succeeded():
+            if load.ejection.on_success():
                 load.ramp_from_ms = now_ms
         elif seen.result is TargetResult.SLOW:
             self._learn_pace(target, load, seen, now_ms)
-            load.ejection.abandoned()
+            load.ejection.on_abandoned()
         elif seen.result is TargetResult.FAILED:
             self._failed(load, candidates, now_ms)
         else:
-            load.ejection.abandoned()
+            load.ejection.on_abandoned()
             _keep_hint(load, seen, now_ms)
 
-    def has_room(
+    def has_capacity(
         self, target: MemberEntry, traffic_class: str, now_ms: float
     ) -> bool:
         """Tells whether a target plausibly has room for one more request."""
@@ -193,7 +195,7 @@
         """
         soonest = 0
         for target in candidates.targets:
-            hint = self._load(target).full.get(traffic_class)
+            hint = self._load(target).full_hints.get(traffic_class)
             if hint is None or now_ms - hint.at_ms > JUST_REFUSED_MS:
                 return 0
             soonest = min(soonest or hint.retry_after_ms, hint.retry_after_ms)
@@ -207,23 +209,25 @@
         self,
         target: MemberEntry,
         load: TargetLoad,
-        seen: Observation,
+        seen: RequestOutcome,
         now_ms: float,
     ) -> None:
         centre = target.data_centre
         part = self.objectives.part(
             seen.route, seen.aim_ms, centre, seen.took_ms, now_ms
         )
-        load.pace.add(part, now_ms)
-        around = self.paces.setdefault((target.upstream, centre), Pace())
+        load.latency_ratio.add(part, now_ms)
+        around = self.latency_ratios.setdefault(
+            (target.upstream, centre), Pace()
+        )
         around.add(part, now_ms)
 
     def _pace(self, target: MemberEntry, now_ms: float) -> float:
         # A node hears of each of many far targets once in a while only; those
         # beside them tell as much.
-        around = self.paces.get((target.upstream, target.data_centre))
+        around = self.latency_ratios.get((target.upstream, target.data_centre))
         usual = RELAXED if around is None else around.at(now_ms)
-        return self._load(target).pace.at(now_ms, usual)
+        return self._load(target).latency_ratio.at(now_ms, usual)
 
     def _compare(self, candidates: Candidates, now_ms: float) -> None:
         targets = candidates.targets
@@ -242,15 +246,15 @@
             if old.pop(target.node, None) != target.incarnation:
                 self._load(target).ramp_from_ms = now_ms
         for node in old:
-            if node in self.loads and not self.loads[node].own:
+            if node in self.loads and not self.loads[node].own_requests:
                 del self.loads[node]
 
     def _load(self, target: MemberEntry) -> TargetLoad:
         load = self.loads.get(target.node)
         if load is not None and load.incarnation == target.incarnation:
             return load
-        own = load.own if load else 0
-        fresh = TargetLoad(target.incarnation, own=own, ramp=self.ramp)
+        own = load.own_requests if load else 0
+        fresh = TargetLoad(target.incarnation, own_requests=own, ramp=self.ramp)
         self.loads[target.node] = fresh
         return fresh
 
@@ -289,7 +293,7 @@
         load = self._load(entry)
         is_full = load.is_full(traffic_class, now_ms)
         pace = self._pace(entry, now_ms)
-        return is_full, load.score(entry.slots, pace, now_ms)
+        return is_full, load.cost(entry.slots, pace, now_ms)
 
     def _usable(
         self, entry: MemberEntry, tried: AbstractSet[str], now_ms: float
@@ -300,7 +304,10 @@
 
     def _takes_work(self, entry: MemberEntry, now_ms: float) -> bool:
         load = self._load(entry)
-        return load.ejection.allows(now_ms) and now_ms >= load.leaving_until_ms
+        return (
+            load.ejection.allows(now_ms)
+            and now_ms >= load.not_accepting_until_ms
+        )
 
     def _is_full(
         self, entry: MemberEntry, traffic_class: str, now_ms: float
@@ -308,7 +315,9 @@
         load = self._load(entry)
         if load.is_full(traffic_class, now_ms):
             return True
-        return load.load(now_ms) >= load.room(entry.slots, now_ms)
+        return load.estimated_requests(now_ms) >= load.usable_slots(
+            entry.slots, now_ms
+        )
 
     def _looks_far(
         self, near: MemberEntry, traffic_class: str, now_ms: float
@@ -350,24 +359,24 @@
             for item in candidates.targets
         )
         allowed = may_eject(out, len(candidates.targets))
-        if load.ejection.failed(now_ms, allowed, self.seeded):
+        if load.ejection.on_failure(now_ms, allowed, self.seeded):
             self.ejections += 1
 
 
-def _keep_hint(load: TargetLoad, seen: Observation, now_ms: float) -> None:
-    if seen.result is TargetResult.LEAVING:
-        load.leaving_until_ms = now_ms + LEAVING_HINT_MS
+def _keep_hint(load: TargetLoad, seen: RequestOutcome, now_ms: float) -> None:
+    if seen.result is TargetResult.NOT_ACCEPTING:
+        load.not_accepting_until_ms = now_ms + LEAVING_HINT_MS
         return
     hint_ms = min(seen.retry_after_ms or FULL_HINT_MS, FULL_HINT_MS)
     until_ms = now_ms + hint_ms
     if seen.result is TargetResult.FULL:
-        load.full[seen.traffic_class] = FullHint(
+        load.full_hints[seen.traffic_class] = FullHint(
             now_ms, until_ms, seen.retry_after_ms
         )
-    elif seen.result is TargetResult.BUSY:
+    elif seen.result is TargetResult.WOULD_WAIT:
         # It would have taken the request in the end, so this is no reason to
         # turn callers away.
-        load.full[seen.traffic_class] = FullHint(-math.inf, until_ms, 0)
+        load.full_hints[seen.traffic_class] = FullHint(-math.inf, until_ms, 0)
 
 
 def isolation_target(
--- a/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
@@ -11,10 +11,10 @@
     ConcurrencyLimit,
     ErrorKind,
     FailedAttempt,
+    LoadBalancer,
     MemberTable,
-    Observation,
-    Placing,
     Rejected,
+    RequestOutcome,
     RetryPolicy,
     RoundRobin,
     Started,
@@ -77,7 +77,7 @@
     """A node that callers enter by."""
 
     index: CandidateIndex
-    placing: Placing
+    load_balancer: LoadBalancer
     retries: RetryPolicy
 
 
@@ -105,7 +105,7 @@
             own = member(f"entry-{number}", data_centre, upstream="")
             table = MemberTable(own)
             table.merge(members)
-            placing: Placing = RoundRobin()
+            placing: LoadBalancer = RoundRobin()
             if not round_robin:
                 placing = TwoChoices(random.Random(number))
             self.entries.append(
@@ -163,19 +163,19 @@
     def _try(self, call: Call, entry: FleetEntry, tried: set[str]) -> None:
         now_ms = self.events.now_ms
         candidates = entry.index.of(UPSTREAM)
-        away_ms = entry.placing.all_full_retry_after_ms(
+        away_ms = entry.load_balancer.all_full_retry_after_ms(
             candidates, CLASS, now_ms
         )
         if away_ms and not tried:
             self._end(call, ErrorKind.OVERLOADED.value)
             return
-        chosen = entry.placing.place(candidates, tried, CLASS, now_ms)
+        chosen = entry.load_balancer.pick(candidates, tried, CLASS, now_ms)
         if chosen is None:
             self._end(call, ErrorKind.NO_TARGET.value)
             return
         self.attempts += 1
         tried.add(chosen.node)
-        entry.placing.sent(chosen, now_ms)
+        entry.load_balancer.on_sent(chosen, now_ms)
         target = self.targets[chosen.node]
         visit = Visit(call, entry, target, tried, now_ms)
         target.present.append(visit)
@@ -247,7 +247,7 @@
         if error is not None:
             result = target_result(error, visit.call.timeout_ms)
         admission = visit.target.admission
-        seen = Observation(
+        seen = RequestOutcome(
             result,
             CLASS,
             now_ms - visit.sent_ms,
@@ -259,7 +259,7 @@
         entry = visit.entry
         candidates = entry.index.of(UPSTREAM)
         chosen = visit.target.entry
-        entry.placing.ended(chosen, candidates, seen, now_ms)
+        entry.load_balancer.on_ended(chosen, candidates, seen, now_ms)
         if error is None:
             self._end(visit.call, "answered")
             return
@@ -268,7 +268,7 @@
     def _again(self, visit: Visit, error: ErrorKind) -> None:
         now_ms = self.events.now_ms
         entry = visit.entry
-        other = entry.placing.place(
+        other = entry.load_balancer.pick(
             entry.index.of(UPSTREAM), visit.tried, CLASS, now_ms
         )
         attempt = FailedAttempt(
@@ -278,7 +278,7 @@
             transparent_retries=0,
             remaining_ms=visit.call.at_ms + visit.call.timeout_ms - now_ms,
             other_has_capacity=other is not None
-            and entry.placing.has_room(other, CLASS, now_ms),
+            and entry.load_balancer.has_capacity(other, CLASS, now_ms),
         )
         retry = entry.retries.decide(UPSTREAM, attempt, now_ms)
         if retry is None or not self.retrying:
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims.py
@@ -155,8 +155,8 @@
     Were the oldest dropped, its caller's next sending would run again.
     """
     table = replay(claim("x", 1, b"a"), claim("x", 2, b"b"))
-    assert table.wait_for_room_ms(now_ms=1, limit=2) == WINDOW_MS
-    assert table.wait_for_room_ms(now_ms=1, limit=3) == 0
+    assert table.capacity_wait_ms(now_ms=1, limit=2) == WINDOW_MS
+    assert table.capacity_wait_ms(now_ms=1, limit=3) == 0
     assert set(table.claims) == {b"a", b"b"}
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_placing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_two_choices.py
@@ -7,7 +7,7 @@
 from pomelobank_core import (
     CandidateIndex,
     MemberTable,
-    Observation,
+    RequestOutcome,
     TargetResult,
     TwoChoices,
 )
@@ -91,7 +91,7 @@
     fleet.events.at(
         2900,
         lambda: ejected.extend(
-            len(entry.placing.ejected_nodes()) for entry in fleet.entries
+            len(entry.load_balancer.ejected_nodes()) for entry in fleet.entries
         ),
     )
     fleet.events.run()
@@ -138,13 +138,13 @@
     candidates = CandidateIndex(table).of("stock")
     placing = TwoChoices(random.Random(1))
     for target, took_ms in ((near, 30.0), (far, 12.0)):
-        seen = Observation(TargetResult.RESPONDED, CLASS, took_ms)
-        placing.ended(target, candidates, seen, 0)
-    assert placing.place(candidates, set(), CLASS, 1) == near
+        seen = RequestOutcome(TargetResult.RESPONDED, CLASS, took_ms)
+        placing.on_ended(target, candidates, seen, 0)
+    assert placing.pick(candidates, set(), CLASS, 1) == near
     for _ in range(20):
-        seen = Observation(TargetResult.RESPONDED, CLASS, 200.0)
-        placing.ended(near, candidates, seen, 2)
-    assert placing.place(candidates, set(), CLASS, 3) == far
+        seen = RequestOutcome(TargetResult.RESPONDED, CLASS, 200.0)
+        placing.on_ended(near, candidates, seen, 2)
+    assert placing.pick(candidates, set(), CLASS, 3) == far
 
 
 def test_full_hint_ages_out() -> None:
@@ -153,16 +153,16 @@
     table.merge([member("a")])
     index = CandidateIndex(table)
     placing = TwoChoices(random.Random(1))
-    entry = placing.place(index.of("stock"), set(), CLASS, 0)
+    entry = placing.pick(index.of("stock"), set(), CLASS, 0)
     assert entry is not None
-    placing.sent(entry, 0)
-    full = Observation(
+    placing.on_sent(entry, 0)
+    full = RequestOutcome(
         TargetResult.FULL, CLASS, outstanding=30, retry_after_ms=60_000
     )
-    placing.ended(entry, index.of("stock"), full, 1)
-    assert not placing.has_room(entry, CLASS, 100)
-    assert placing.has_room(entry, "batch", 100)
-    assert placing.has_room(entry, CLASS, 300)
+    placing.on_ended(entry, index.of("stock"), full, 1)
+    assert not placing.has_capacity(entry, CLASS, 100)
+    assert placing.has_capacity(entry, "batch", 100)
+    assert placing.has_capacity(entry, CLASS, 300)
     assert (
         placing.all_full_retry_after_ms(index.of("stock"), CLASS, 10) == 60_000
     )
@@ -190,24 +190,24 @@
     index = CandidateIndex(table)
     candidates = index.of("stock")
     placing = TwoChoices(random.Random(1))
-    failed = Observation(TargetResult.FAILED)
+    failed = RequestOutcome(TargetResult.FAILED)
     for _ in range(3):
-        placing.sent(FOUR[0], 0)
-        placing.ended(FOUR[0], candidates, failed, 0)
+        placing.on_sent(FOUR[0], 0)
+        placing.on_ended(FOUR[0], candidates, failed, 0)
 
     def chosen(now_ms: float) -> int:
         count = 0
         for _ in range(200):
-            entry = placing.place(candidates, set(), CLASS, now_ms)
+            entry = placing.pick(candidates, set(), CLASS, now_ms)
             assert entry is not None
             if entry.node == "t0":
-                placing.sent(entry, now_ms)
+                placing.on_sent(entry, now_ms)
                 count += 1
         return count
 
     assert chosen(500) == 0
     assert chosen(1500) == 1
-    placing.ended(FOUR[0], candidates, failed, 1600)
+    placing.on_ended(FOUR[0], candidates, failed, 1600)
     assert chosen(2500) == 0
     assert chosen(5000) == 1
 
--- a/packages/pomelobank-node/src/pomelobank_node/_application.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_application.py
@@ -16,7 +16,7 @@
 from pomelobank_node._crash_reports import CrashReports
 from pomelobank_node._departure_log import DepartureLog
 from pomelobank_node._dispatcher import Dispatcher
-from pomelobank_node._forwarder import Forwarder, new_placing
+from pomelobank_node._forwarder import Forwarder, new_load_balancer
 from pomelobank_node._http_server import HttpServer
 from pomelobank_node._identity import Identity
 from pomelobank_node._log_client import LogClient
@@ -90,18 +90,18 @@
             self.owner,
             self.links,
             self.clock,
-            new_placing(settings.requests),
+            new_load_balancer(settings.requests),
         )
         dispatcher = Dispatcher(self.store, self.forwarder, self.clock)
         self._build_claims(dispatcher)
         self.ingress = Ingress(dispatcher, self.clock)
         self.metrics = Metrics(settings.node, settings.data_centre)
-        self.pages = Admin(self.target, self.store)
+        self.admin_api = Admin(self.target, self.store)
         operator = OperatorService(
             self.store, self.log, self.feed, self.membership, self.clock
         )
         listen = settings.listen
-        pages = self.pages.application()
+        pages = self.admin_api.application()
         pages.add_route("/metrics", self.metrics.page)
         # A caller that never reads its answer must not hold up a stop.
         self.http = CallerServer(
@@ -124,7 +124,7 @@
             self.log,
             self.clock,
             self.settings.claims,
-            dispatcher.place_claimed,
+            dispatcher.dispatch_claimed,
         )
         dispatcher.claims = self.claims
 
--- a/packages/pomelobank-node/src/pomelobank_node/_claims.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims.py
@@ -24,7 +24,7 @@
     shard_of,
 )
 from pomelobank_node._claims_flight import KeyedRequest
-from pomelobank_node._claims_shard import Place, ShardWorker
+from pomelobank_node._claims_shard import DispatchFunction, ShardWorker
 from pomelobank_node._log import Log
 from pomelobank_node._peer_links import PeerLinks
 from pomelobank_node._requests import (
@@ -67,7 +67,7 @@
         log: The log's client.
         clock: Tells the time.
         settings: Limits.
-        place: Runs a claimed request on a target.
+        dispatch: Runs a claimed request on a target.
         writer: Name under which this start of the node writes.
         responses: Answers kept for resends.
         workers: Shards that are read, by number.
@@ -80,7 +80,7 @@
     log: Log
     clock: Clock
     settings: ClaimSettings
-    place: Place
+    dispatch: DispatchFunction
     writer: str = ""
     responses: ResponseStore = attrs.field(init=False)
     workers: dict[int, ShardWorker] = attrs.field(factory=dict)
@@ -243,7 +243,7 @@
                 settings=self.settings,
                 responses=self.responses,
                 numbers=self.numbers,
-                place=self.place,
+                dispatch=self.dispatch,
                 batcher=ClaimBatcher(rate=rate),
             )
             worker.start()
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
@@ -52,7 +52,7 @@
 
 _logger = logging.getLogger(__name__)
 
-Place = Callable[[ForwardRequest], Awaitable[ForwardReply]]
+DispatchFunction = Callable[[ForwardRequest], Awaitable[ForwardReply]]
 
 _MS_PER_S = 1000
 # An acknowledgement of an order with its headers fits; a report does not, and
@@ -79,7 +79,7 @@
         settings: Limits.
         responses: Answers kept for resends.
         numbers: Source of claim numbers.
-        place: Runs a request on a target.
+        dispatch: Runs a request on a target.
         batcher: Decides when to append.
         table: The stream's state.
         out: Appends to the stream.
@@ -97,7 +97,7 @@
     settings: ClaimSettings
     responses: ResponseStore
     numbers: Iterator[int]
-    place: Place
+    dispatch: DispatchFunction
     batcher: ClaimBatcher[Item]
     table: ClaimTable = attrs.field(factory=ClaimTable)
     out: ClaimWriter = attrs.field(init=False)
@@ -293,7 +293,7 @@
         wall_ms = self.clock.wall_ms()
         wait_ms = max(
             self.table.wait_for_window_ms(wall_ms),
-            self.table.wait_for_room_ms(wall_ms, self.settings.keys_per_shard),
+            self.table.capacity_wait_ms(wall_ms, self.settings.keys_per_shard),
         )
         if wait_ms:
             raise RequestError(ErrorKind.CLAIM_UNAVAILABLE, wait_ms)
@@ -327,7 +327,7 @@
             async with asyncio.timeout(
                 (request.remaining_ms + _GRACE_MS) / _MS_PER_S
             ):
-                reply = await self.place(request)
+                reply = await self.dispatch(request)
         except RequestError as error:
             reply = error_reply(0, error)
         except TimeoutError:
--- a/packages/pomelobank-node/src/pomelobank_node/_dispatcher.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_dispatcher.py
@@ -140,7 +140,7 @@
             return await self.claims.run_once(keyed)
         return await self._route_on(route, request)
 
-    async def place_claimed(self, request: ForwardRequest) -> ForwardReply:
+    async def dispatch_claimed(self, request: ForwardRequest) -> ForwardReply:
         """Places a request whose key this node has claimed.
 
         Raises:
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -14,10 +14,10 @@
     ErrorKind,
     FailedAttempt,
     Hedging,
+    LoadBalancer,
     MemberTable,
-    Observation,
-    Placing,
     Ramp,
+    RequestOutcome,
     Retry,
     RetryPolicy,
     RoundRobin,
@@ -77,7 +77,7 @@
 _TWICE = 2
 
 
-def new_placing(settings: RequestSettings) -> Placing:
+def new_load_balancer(settings: RequestSettings) -> LoadBalancer:
     """Returns the placing that the settings name."""
     if settings.placing == "round_robin":
         return RoundRobin()
@@ -94,7 +94,7 @@
         owner: The node's own target.
         links: Streams to peers.
         clock: Tells the time.
-        placing: Chooses the target.
+        load_balancer: Chooses the target.
         retry_header: Marks a request that is part of a retry; empty for none.
         index: The targets of each upstream.
         retries: Decides about further tries.
@@ -111,7 +111,7 @@
     owner: Owner
     links: PeerLinks
     clock: Clock
-    placing: Placing
+    load_balancer: LoadBalancer
     retry_header: bytes = RETRY_HEADER
     index: CandidateIndex = attrs.field()
     retries: RetryPolicy = attrs.field(factory=RetryPolicy)
@@ -199,7 +199,7 @@
         kind = load_class(journey.request)
         if journey.offers:
             other = self._place(journey)
-            if other and self.placing.may_accept(other, kind, now_ms):
+            if other and self.load_balancer.may_accept(other, kind, now_ms):
                 return other
         # No idle target was found; the one with the shortest queue has to
         # take it.
@@ -208,7 +208,7 @@
 
     def _turn_away(self, request: ForwardRequest, now_ms: int) -> None:
         candidates = self.index.of(request.upstream)
-        retry_after_ms = self.placing.all_full_retry_after_ms(
+        retry_after_ms = self.load_balancer.all_full_retry_after_ms(
             candidates, load_class(request), now_ms
         )
         if retry_after_ms:
@@ -226,13 +226,13 @@
             # a time and a crash takes that one target only.
             print_ = request_fingerprint(request)
             return isolation_target(candidates, print_, journey.attempted_nodes)
-        return self.placing.place(
+        return self.load_balancer.pick(
             candidates, journey.attempted_nodes, load_class(request), now_ms
         )
 
     async def _queue_at_several(self, journey: Journey) -> ForwardReply:
         candidates = self.index.of(journey.request.upstream)
-        targets = self.placing.place_several(
+        targets = self.load_balancer.pick_several(
             candidates,
             late_targets(candidates),
             self.clock.now_ms(),
@@ -294,10 +294,12 @@
         now_ms = self.clock.now_ms()
         candidates = self.index.of(request.upstream)
         kind = load_class(request)
-        other = self.placing.place(
+        other = self.load_balancer.pick(
             candidates, journey.attempted_nodes, kind, now_ms
         )
-        if other is None or not self.placing.has_room(other, kind, now_ms):
+        if other is None or not self.load_balancer.has_capacity(
+            other, kind, now_ms
+        ):
             return None
         if not self.retries.allow_hedge(request.upstream, now_ms):
             return None
@@ -349,9 +351,9 @@
             request = self._mark_retry(request)
         journey.attempts += 1
         journey.attempted_nodes.add(target.node)
-        self.placing.sent(target, begun_ms)
+        self.load_balancer.on_sent(target, begun_ms)
         # Where another target answers first, this try is cancelled.
-        seen = Observation(TargetResult.NEUTRAL)
+        seen = RequestOutcome(TargetResult.NEUTRAL)
         try:
             reply = await self._send(target, request, binding)
             took_ms = self.clock.now_ms() - begun_ms
@@ -372,7 +374,7 @@
             took_ms = self.clock.now_ms() - begun_ms
             _trace_try(target, "given_up", took_ms)
             if self._is_overdue(request, took_ms):
-                seen = Observation(
+                seen = RequestOutcome(
                     TargetResult.SLOW,
                     took_ms=took_ms,
                     route=first.route,
@@ -382,7 +384,7 @@
         finally:
             candidates = self.index.of(request.upstream)
             now_ms = self.clock.now_ms()
-            self.placing.ended(target, candidates, seen, now_ms)
+            self.load_balancer.on_ended(target, candidates, seen, now_ms)
             if binding is not None and binding.node != target.node:
                 journey.discard_attempt(target)
 
@@ -465,7 +467,7 @@
     def _other_room(self, journey: Journey, now_ms: int) -> bool:
         traffic_class = load_class(journey.request)
         candidates = self.index.of(journey.request.upstream)
-        other = self.placing.place(
+        other = self.load_balancer.pick(
             candidates, journey.attempted_nodes, traffic_class, now_ms
         )
         if other is None:
@@ -473,8 +475,8 @@
         if self.retries.free_rejections:
             # Asking costs nothing, and what is urgent may be taken also where
             # all slots are busy.
-            return self.placing.may_accept(other, traffic_class, now_ms)
-        return self.placing.has_room(other, traffic_class, now_ms)
+            return self.load_balancer.may_accept(other, traffic_class, now_ms)
+        return self.load_balancer.has_capacity(other, traffic_class, now_ms)
 
 
 def _put_away(journey: Journey, reply: ForwardReply) -> None:
--- a/packages/pomelobank-node/src/pomelobank_node/_journey.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_journey.py
@@ -5,7 +5,7 @@
 from pomelobank_core import (
     ERROR_RESPONSES,
     ErrorKind,
-    Observation,
+    RequestOutcome,
     RunState,
     TargetResult,
     target_result,
@@ -150,7 +150,7 @@
 
 def observation(
     request: ForwardRequest, reply: ForwardReply, took_ms: int, aim_ms: int
-) -> Observation:
+) -> RequestOutcome:
     """Returns what a reply says about the target that sent it.
 
     Args:
@@ -162,14 +162,14 @@
     """
     error = reply_error(reply)
     if was_declined(request, reply):
-        result = TargetResult.BUSY
+        result = TargetResult.WOULD_WAIT
     elif error is not None:
         result = target_result(error.kind, request.remaining_ms)
     elif is_shed(reply):
         result = TargetResult.FULL
     else:
         result = TargetResult.RESPONDED
-    return Observation(
+    return RequestOutcome(
         result,
         load_class(request),
         took_ms,
--- a/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
@@ -22,7 +22,7 @@
     Args:
         candidates: The upstream's targets.
     """
-    return LATE_SLOTS // max(1, candidates.most_slots)
+    return LATE_SLOTS // max(1, candidates.max_slots)
 
 
 def may_bind_late(journey: Journey, candidates: Candidates) -> bool:
--- a/packages/pomelobank-node/src/pomelobank_node/_metrics_page.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_metrics_page.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from pomelobank_node._metrics import Metrics
-    from pomelobank_node._observations import SidecarParts
+    from pomelobank_node._observations import ObservedSidecar
 
 _CONTENT = ((b"content-type", b"text/plain; version=0.0.4; charset=utf-8"),)
 
@@ -29,7 +29,7 @@
         metrics: The metrics, once somebody has asked.
     """
 
-    node: SidecarParts
+    node: ObservedSidecar
     output: BoundedOutput
     metrics: Metrics | None = None
 
--- a/packages/pomelobank-node/src/pomelobank_node/_observations.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_observations.py
@@ -72,7 +72,7 @@
         """Requests that crash targets."""
 
 
-class SidecarParts(ObservedNode, Protocol):
+class ObservedSidecar(ObservedNode, Protocol):
     """The parts of a node on a platform."""
 
     @property
@@ -92,7 +92,7 @@
         """Where first contacts are announced."""
 
 
-class ProductParts(ObservedNode, Protocol):
+class ObservedApplication(ObservedNode, Protocol):
     """The parts of a node with the product's own log."""
 
     @property
@@ -116,7 +116,7 @@
         """Idempotency keys."""
 
     @property
-    def pages(self) -> Admin:
+    def admin_api(self) -> Admin:
         """The target's announcements."""
 
 
@@ -126,7 +126,7 @@
 
 
 def observe_sidecar(
-    metrics: Metrics, node: SidecarParts, unwritten: Read
+    metrics: Metrics, node: ObservedSidecar, unwritten: Read
 ) -> None:
     """Adds every metric of a node on a platform.
 
@@ -149,7 +149,7 @@
     metrics.observe(listed.OUTPUT_DROPPED, unwritten)
 
 
-def _published(node: SidecarParts) -> Readings:
+def _published(node: ObservedSidecar) -> Readings:
     store, feed = node.store, node.feed
     yield listed.CONFIG_VERSION, lambda: store.version
     yield listed.CONFIG_READY, lambda: int(store.ready)
@@ -160,7 +160,7 @@
     yield listed.SOURCE_READS, lambda: feed.reads
 
 
-def observe_node(metrics: Metrics, node: ProductParts) -> None:
+def observe_node(metrics: Metrics, node: ObservedApplication) -> None:
     """Adds every metric of a node.
 
     Args:
@@ -180,11 +180,11 @@
     ):
         for instrument, read in readings:
             metrics.observe(instrument, read)
-    pages = node.pages
+    pages = node.admin_api
     metrics.observe(listed.BAD_ANNOUNCEMENTS, lambda: pages.bad_announcements)
 
 
-def _configuration(node: ProductParts) -> Readings:
+def _configuration(node: ObservedApplication) -> Readings:
     store = node.store
     yield listed.CONFIG_VERSION, lambda: store.version
     yield listed.CONFIG_BLOCKED, lambda: int(store.blocked)
@@ -193,7 +193,7 @@
     yield listed.CONFIG_UNREADABLE, lambda: store.unreadable
 
 
-def _distribution(node: ProductParts) -> Readings:
+def _distribution(node: ObservedApplication) -> Readings:
     feed, clock = node.feed, node.clock
     plan = feed.distribution
     yield listed.CONFIG_LOG_AGE, lambda: plan.log_age_ms(clock.now_ms())
@@ -206,7 +206,7 @@
     yield listed.CONFIG_SNAPSHOTS, lambda: feed.writer.written
 
 
-def _log(node: ProductParts) -> Readings:
+def _log(node: ObservedApplication) -> Readings:
     log, feed = node.log, node.feed
     yield listed.LOG_UP, lambda: int(feed.log_up)
     yield listed.LOG_READS, lambda: log.reads
@@ -214,7 +214,7 @@
     yield listed.LOG_BYTES_READ, lambda: log.bytes_read
 
 
-def _first_contacts(node: SidecarParts) -> Readings:
+def _first_contacts(node: ObservedSidecar) -> Readings:
     log, feed = node.log, node.feed
     yield listed.LOG_UP, lambda: int(feed.source_up)
     yield listed.LOG_READS, lambda: log.reads
@@ -275,10 +275,10 @@
 
 
 def _placing(node: ObservedNode) -> Readings:
-    placing = node.forwarder.placing
+    placing = node.forwarder.load_balancer
     if isinstance(placing, TwoChoices):
         yield listed.EJECTIONS, lambda: placing.ejections
-        yield listed.SPILLS, lambda: placing.spills
+        yield listed.SPILLS, lambda: placing.overflows
 
 
 def _quarantine(node: ObservedNode) -> Readings:
@@ -287,7 +287,7 @@
     yield listed.QUARANTINE_REFUSED, lambda: reports.rejected
 
 
-def _claims(node: ProductParts) -> Readings:
+def _claims(node: ObservedApplication) -> Readings:
     claims = node.claims
     yield listed.CLAIM_KEYS, lambda: claims.keys
     yield listed.CLAIMS_FORWARDED, lambda: claims.forwarded
--- a/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
@@ -27,7 +27,7 @@
 from pomelobank_node._departure_log import DepartureLog
 from pomelobank_node._dialect import Dialect
 from pomelobank_node._dispatcher import Dispatcher
-from pomelobank_node._forwarder import Forwarder, new_placing
+from pomelobank_node._forwarder import Forwarder, new_load_balancer
 from pomelobank_node._identity import Identity
 from pomelobank_node._log import Log
 from pomelobank_node._log_output import BoundedOutput
@@ -158,7 +158,7 @@
             self.owner,
             self.links,
             self.clock,
-            new_placing(settings.requests),
+            new_load_balancer(settings.requests),
             retry_header=dialect.retry,
             retries=RetryPolicy(
                 new_budget=self._new_budget, free_rejections=True
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
@@ -63,7 +63,7 @@
 
 
 class _OneQueue(TwoChoices):
-    def place_several(
+    def pick_several(
         self, candidates: Candidates, count: int, now_ms: float
     ) -> list[MemberEntry]:
         return []
@@ -99,9 +99,9 @@
 
 
 def _without_late_binding(node: ModelNode) -> None:
-    placing = node.forwarder.placing
+    placing = node.forwarder.load_balancer
     assert isinstance(placing, TwoChoices)
-    node.forwarder.placing = _OneQueue(placing.seeded, placing.ramp)
+    node.forwarder.load_balancer = _OneQueue(placing.seeded, placing.ramp)
 
 
 def _without_offers(node: ModelNode) -> None:
