--- a/packages/pomelobank-core/src/pomelobank_core/__init__.py
+++ b/packages/pomelobank-core/src/pomelobank_core/__init__.py
@@ -13,6 +13,9 @@
         Admission,
     )
     from pomelobank_core._brief_work import BriefWork
+    from pomelobank_core._caller_timeouts import (
+        CallerTimeouts,
+    )
     from pomelobank_core._candidates import (
         CandidateIndex,
         Candidates,
@@ -21,10 +24,10 @@
         ClaimAttempt,
         ClaimAttemptState,
         ClaimAttemptStep,
-        claim_seen,
+        abandon,
         combine_run_states,
-        give_up,
-        run_ended,
+        on_claim_seen,
+        on_run_ended,
     )
     from pomelobank_core._claim_batcher import (
         ClaimBatcher,
@@ -33,7 +36,7 @@
         ResponseStore,
     )
     from pomelobank_core._claims import (
-        SHARDS,
+        SHARD_COUNT,
         Claim,
         ClaimEnded,
         ClaimEvent,
@@ -122,9 +125,6 @@
         operation_object,
         snapshot_object_value,
     )
-    from pomelobank_core._patience import (
-        CallerPatience,
-    )
     from pomelobank_core._quarantine import (
         POINTS_NODE_LOST,
         POINTS_TARGET_LOST,
@@ -236,7 +236,7 @@
     "POINTS_NODE_LOST",
     "POINTS_TARGET_LOST",
     "READERS",
-    "SHARDS",
+    "SHARD_COUNT",
     "TAIL_RECORDS",
     "WORK_RESERVE_FACTOR",
     "Action",
@@ -244,7 +244,7 @@
     "AdmissionPolicy",
     "BriefWork",
     "Budget",
-    "CallerPatience",
+    "CallerTimeouts",
     "CandidateIndex",
     "Candidates",
     "Change",
@@ -334,11 +334,11 @@
     "VersionFloor",
     "VersionedObject",
     "WorkResult",
+    "abandon",
     "adopt_snapshot",
     "advance",
     "check_objects",
     "claim_key",
-    "claim_seen",
     "combine_run_states",
     "completion_record",
     "contacts_record",
@@ -346,13 +346,14 @@
     "evaluate",
     "find_neighbours",
     "fingerprint",
-    "give_up",
     "is_announcer",
     "is_departure_of",
     "is_idempotent",
     "isolation_target",
     "lost_kind",
     "object_key",
+    "on_claim_seen",
+    "on_run_ended",
     "operation_object",
     "operations_digest",
     "pick_upstream",
@@ -362,7 +363,6 @@
     "replay_change",
     "request_digest",
     "restore_snapshot",
-    "run_ended",
     "scoped_key",
     "service_of",
     "shard_of",
@@ -377,6 +377,7 @@
 _NAMES_BY_MODULE = {
     "_admission": ("Admission",),
     "_brief_work": ("BriefWork",),
+    "_caller_timeouts": ("CallerTimeouts",),
     "_candidates": (
         "CandidateIndex",
         "Candidates",
@@ -385,10 +386,10 @@
         "ClaimAttempt",
         "ClaimAttemptState",
         "ClaimAttemptStep",
-        "claim_seen",
+        "abandon",
         "combine_run_states",
-        "give_up",
-        "run_ended",
+        "on_claim_seen",
+        "on_run_ended",
     ),
     "_claim_batcher": ("ClaimBatcher",),
     "_claim_responses": ("ResponseStore",),
@@ -400,7 +401,7 @@
         "ClaimSeen",
         "ClaimStatus",
         "ClaimTable",
-        "SHARDS",
+        "SHARD_COUNT",
         "StoredResponse",
         "claim_key",
         "completion_record",
@@ -474,7 +475,6 @@
         "operation_object",
         "snapshot_object_value",
     ),
-    "_patience": ("CallerPatience",),
     "_quarantine": (
         "Evidence",
         "POINTS_NODE_LOST",
--- a/packages/pomelobank-core/src/pomelobank_core/_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_admission.py
@@ -62,7 +62,7 @@
         max_queue_ms: Longest wait that is planned. A queue is for bursts; a
             standing one adds its length to every answer and serves no more.
         seeded: Source of randomness.
-        times: Measured service times.
+        service_times: Measured service times.
         running: Requests at the target, by class.
         queues: Waiting requests, by class.
         seen_ms: When each class asked last.
@@ -72,7 +72,7 @@
     limit: ConcurrencyLimit
     max_queue_ms: int
     seeded: random.Random = attrs.field(factory=random.Random)
-    times: ServiceTimes = attrs.field(factory=ServiceTimes)
+    service_times: ServiceTimes = attrs.field(factory=ServiceTimes)
     running: dict[TrafficClass, int] = attrs.field(factory=_per_class)
     queues: dict[TrafficClass, deque[Ticket]] = attrs.field(factory=_queues)
     seen_ms: dict[TrafficClass, float] = attrs.field(factory=dict)
@@ -100,13 +100,13 @@
         self.seen_ms[ticket.traffic_class] = now_ms
         return super().offer(ticket, now_ms)
 
-    def usual_ms_of(self, route: str, now_ms: float) -> float:
+    def expected_service_ms(self, route: str, now_ms: float) -> float:
         """Returns the time that a route's requests usually take."""
-        return self.times.of_route(route)
+        return self.service_times.of_route(route)
 
-    def longest_usual_ms(self, now_ms: float) -> float:
+    def max_expected_service_ms(self, now_ms: float) -> float:
         """Returns the usual request time of the slowest route in ms."""
-        return self.times.longest_ms()
+        return self.service_times.max_ms()
 
     def give_up_ms(self, ticket: Ticket) -> float:
         """Returns until when a request may wait: to its deadline."""
@@ -127,7 +127,7 @@
         # that waits and then misses its deadline has cost a place for nothing.
         wait_ms = self._wait_ms(ticket.traffic_class, now_ms)
         room_ms = ticket.deadline_ms - now_ms
-        room_ms -= self.times.of_route(ticket.route)
+        room_ms -= self.service_times.of_route(ticket.route)
         usual_ms = self._usual_ms(ticket.traffic_class)
         # One service time is always planned for: work that takes longer than
         # the longest wait could otherwise never wait for its turn.
@@ -137,10 +137,10 @@
         self.queues[ticket.traffic_class].append(ticket)
         return Queued()
 
-    def _offer_alone(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _offer_isolated(self, ticket: Ticket, now_ms: float) -> Verdict:
         # One at a time: several would empty the target for each in turn and
         # take it from the requests that are no danger.
-        if self.alone is not None:
+        if self.isolated_request is not None:
             return self._reject(ErrorKind.OVERLOADED, self.max_queue_ms)
         # Everything else is held until the target is empty. Behind long work
         # that would idle it for seconds; the suspect comes back later.
@@ -148,14 +148,14 @@
         room_ms = min(ticket.deadline_ms - now_ms, LONGEST_HOLD_MS)
         if empty_ms > room_ms:
             return self._reject(ErrorKind.OVERLOADED, empty_ms)
-        return self._hold_for(ticket, now_ms)
+        return self._start_isolated(ticket, now_ms)
 
     def _empty_ms(self) -> float:
         busy = [item for item, slots in self.running.items() if slots]
         return max(map(self._usual_ms, busy), default=0.0)
 
     def _starts_at_once(self, ticket: Ticket, now_ms: float) -> bool:
-        if self.alone is not None:
+        if self.isolated_request is not None:
             return False
         if not may_start(self.policy, self, ticket.traffic_class, now_ms):
             return False
@@ -201,12 +201,14 @@
         return ahead / rate
 
     def _usual_ms(self, traffic_class: TrafficClass) -> float:
-        return self.times.of_class(traffic_class.value) or UNMEASURED_MS
+        return self.service_times.of_class(traffic_class.value) or UNMEASURED_MS
 
     def _learn_time(
         self, ticket: Ticket, took_ms: float, now_ms: float
     ) -> None:
-        self.times.add(ticket.traffic_class.value, ticket.route, took_ms)
+        self.service_times.add(
+            ticket.traffic_class.value, ticket.route, took_ms
+        )
 
     def reserved(self, traffic_class: TrafficClass, now_ms: float) -> int:
         """Returns the slots kept free for a class just now."""
--- a/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
@@ -31,13 +31,13 @@
     counts, the one request that runs alone, and what an end teaches.
 
     Attributes:
-        alone: The request that runs or waits to run alone, if any.
+        isolated_request: The request that runs or waits to run alone, if any.
         rejected: Requests that were refused.
         declined: Offers that would have waited longer than they were to.
         expired: Requests that were dropped unrun.
     """
 
-    alone: Ticket | None = None
+    isolated_request: Ticket | None = None
     rejected: int = 0
     declined: int = 0
     expired: int = 0
@@ -65,11 +65,11 @@
         """Requests in the queue, without one that waits to run alone."""
 
     @abc.abstractmethod
-    def usual_ms_of(self, route: str, now_ms: float) -> float:
+    def expected_service_ms(self, route: str, now_ms: float) -> float:
         """Returns the time that a route's requests usually take."""
 
     @abc.abstractmethod
-    def longest_usual_ms(self, now_ms: float) -> float:
+    def max_expected_service_ms(self, now_ms: float) -> float:
         """Returns the usual request time of the slowest route in ms."""
 
     @abc.abstractmethod
@@ -81,7 +81,7 @@
         """Decides about a request that may run beside others."""
 
     @abc.abstractmethod
-    def _offer_alone(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _offer_isolated(self, ticket: Ticket, now_ms: float) -> Verdict:
         """Decides about a request that has to run alone."""
 
     @abc.abstractmethod
@@ -130,8 +130,8 @@
         ticket.offered_ms = now_ms
         if ticket.deadline_ms <= now_ms:
             return self._reject(ErrorKind.DEADLINE_NOT_RUN, MIN_RETRY_AFTER_MS)
-        if ticket.alone:
-            return self._offer_alone(ticket, now_ms)
+        if ticket.isolated:
+            return self._offer_isolated(ticket, now_ms)
         return self._offer_shared(ticket, now_ms)
 
     def finish(
@@ -151,15 +151,15 @@
         took_ms = now_ms - ticket.started_ms
         busy = self.in_flight
         self._vacate(ticket)
-        if self.alone is ticket:
-            self.alone = None
+        if self.isolated_request is ticket:
+            self.isolated_request = None
         if result is WorkResult.RESPONDED:
             self._learn_time(ticket, took_ms, now_ms)
             self.limit.on_response(ticket.route, took_ms, busy)
         elif result is WorkResult.SHED:
             self.limit.shed()
         elif result is WorkResult.LOST:
-            self.limit.restart()
+            self.limit.reset()
         return self.start_waiting(now_ms)
 
     def leave(self, ticket: Ticket, now_ms: float) -> Change:
@@ -173,8 +173,8 @@
             The requests that this let start.
         """
         self._unqueue(ticket)
-        if self.alone is ticket and ticket.started_ms is None:
-            self.alone = None
+        if self.isolated_request is ticket and ticket.started_ms is None:
+            self.isolated_request = None
         return self.start_waiting(now_ms)
 
     def set_slots(self, slots: int, now_ms: float) -> Change:
@@ -185,28 +185,31 @@
     def start_waiting(self, now_ms: float) -> Change:
         """Drops what waits in vain and starts what there is room for."""
         dropped = self._drop(now_ms)
-        if self.alone is None:
+        if self.isolated_request is None:
             return Change(tuple(self._start_queued(now_ms)), dropped)
         if self._alone_waits() and not self.in_flight:
-            self._start(self.alone, now_ms)
-            return Change((self.alone,), dropped)
+            self._start(self.isolated_request, now_ms)
+            return Change((self.isolated_request,), dropped)
         return Change((), dropped)
 
     def _drop(self, now_ms: float) -> tuple[Ticket, ...]:
         dropped = self._drop_queued(now_ms)
-        alone = self.alone
+        alone = self.isolated_request
         if alone and self._alone_waits() and alone.deadline_ms <= now_ms:
             dropped.append(alone)
-            self.alone = None
+            self.isolated_request = None
         self.expired += len(dropped)
         return tuple(dropped)
 
     def _alone_waits(self) -> bool:
-        return self.alone is not None and self.alone.started_ms is None
+        return (
+            self.isolated_request is not None
+            and self.isolated_request.started_ms is None
+        )
 
-    def _hold_for(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _start_isolated(self, ticket: Ticket, now_ms: float) -> Verdict:
         """Lets nothing start until a request has run alone."""
-        self.alone = ticket
+        self.isolated_request = ticket
         if self.in_flight:
             return Queued()
         self._start(ticket, now_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/_brief_work.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_brief_work.py
@@ -2,8 +2,8 @@
 
 import attrs
 
-from pomelobank_core._rank_load import REMEMBER_MS, FadingSum
-from pomelobank_core._recent_work import RecentWork
+from pomelobank_core._rank_load import DECAY_TIME_MS, DecayingSum
+from pomelobank_core._route_times import RouteTimes
 
 # Longest time of a brief request, as a part of the slowest route's usual time.
 # A request that overtakes others delays them by no more than this part.
@@ -24,12 +24,12 @@
     each refusal wastes the slot time that the calling request has had.
 
     Attributes:
-        times: Measured service times.
+        service_times: Measured service times.
         taken: Slot time that brief requests were given lately.
     """
 
-    times: RecentWork
-    taken: FadingSum = attrs.field(factory=FadingSum)
+    service_times: RouteTimes
+    taken: DecayingSum = attrs.field(factory=DecayingSum)
 
     def includes(self, route: str, slots: int, now_ms: float) -> bool:
         """Tells whether a request of a route is brief now.
@@ -39,16 +39,19 @@
             slots: Requests that the target runs at once.
             now_ms: Current time.
         """
-        if not self.times.by_route:
+        if not self.service_times.by_route:
             return False
-        longest_ms = BRIEF_PART * self.times.longest_ms(now_ms)
+        longest_ms = BRIEF_PART * self.service_times.max_expected_ms(now_ms)
         # A route that was never measured is taken for brief. Planned with a
         # default time it could be refused each time, and stay unmeasured.
-        measured = route in self.times.by_route
-        if measured and self.times.of(route, now_ms) > longest_ms:
+        measured = route in self.service_times.by_route
+        if (
+            measured
+            and self.service_times.expected_ms(route, now_ms) > longest_ms
+        ):
             return False
-        return self.taken.at(now_ms) <= BRIEF_SHARE * slots * REMEMBER_MS
+        return self.taken.at(now_ms) <= BRIEF_SHARE * slots * DECAY_TIME_MS
 
     def started(self, route: str, now_ms: float) -> None:
         """Takes the start of a brief request."""
-        self.taken.add(self.times.of(route, now_ms), now_ms)
+        self.taken.add(self.service_times.expected_ms(route, now_ms), now_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/_patience.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_caller_timeouts.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define
-class CallerPatience:
+class CallerTimeouts:
     """Knows how long callers of each route usually wait.
 
     Made for a shortage that lasts: some callers are refused and come back
@@ -31,18 +31,18 @@
     672 where callers are not told apart (replayed load, two seeds).
 
     Attributes:
-        usual_ms: Time that callers usually give, by route.
+        typical_ms: Time that callers usually give, by route.
     """
 
-    usual_ms: dict[str, float] = attrs.field(factory=dict)
+    typical_ms: dict[str, float] = attrs.field(factory=dict)
 
-    def spent_ms(self, route: str, given_ms: int) -> int:
+    def elapsed_ms(self, route: str, given_ms: int) -> int:
         """Takes the time that a caller gives; returns what it has used.
 
-        >>> patience = CallerPatience()
-        >>> patience.spent_ms("stock", 1000)
+        >>> patience = CallerTimeouts()
+        >>> patience.elapsed_ms("stock", 1000)
         0
-        >>> patience.spent_ms("stock", 400)
+        >>> patience.elapsed_ms("stock", 400)
         600
 
         Args:
@@ -52,12 +52,12 @@
         Returns:
             What the caller has probably used on earlier attempts, in ms.
         """
-        usual_ms = self.usual_ms.get(route)
+        usual_ms = self.typical_ms.get(route)
         if usual_ms is None:
-            if len(self.usual_ms) < MAX_ROUTES:
-                self.usual_ms[route] = float(given_ms)
+            if len(self.typical_ms) < MAX_ROUTES:
+                self.typical_ms[route] = float(given_ms)
             return 0
         part = USUAL_PART if given_ms >= usual_ms else USUAL_PART - 1
-        self.usual_ms[route] = usual_ms * (1 + STEP * part)
+        self.typical_ms[route] = usual_ms * (1 + STEP * part)
         missing_ms = usual_ms - given_ms
         return round(missing_ms) if missing_ms > SPREAD * usual_ms else 0
--- a/packages/pomelobank-core/src/pomelobank_core/_claim_attempts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claim_attempts.py
@@ -61,7 +61,7 @@
     state: ClaimAttemptState = ClaimAttemptState.PENDING
 
 
-def claim_seen(
+def on_claim_seen(
     attempt: ClaimAttempt, won: bool, now_ms: int
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """The claim came by in the stream.
@@ -95,7 +95,7 @@
     ), ClaimAttemptStep.RUN
 
 
-def give_up(attempt: ClaimAttempt) -> ClaimAttempt:
+def abandon(attempt: ClaimAttempt) -> ClaimAttempt:
     """The wait for the claim is over, or the caller has gone.
 
     An attempt that already runs goes on: it cannot be called not run.
@@ -105,7 +105,7 @@
     return attrs.evolve(attempt, state=ClaimAttemptState.ABANDONED)
 
 
-def run_ended(
+def on_run_ended(
     attempt: ClaimAttempt, run_state: RunState
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """The request of a running attempt ended.
--- a/packages/pomelobank-core/src/pomelobank_core/_claim_batcher.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claim_batcher.py
@@ -36,9 +36,9 @@
     refused at once, because a queue that cannot drain only delays the answer.
 
     Attributes:
-        rate: Appends per second.
+        appends_per_s: Appends per second.
         urgent: Items that a caller waits for.
-        lazy: Items that nobody waits for.
+        deferred: Items that nobody waits for.
         saved: Appends that may be made at once.
         appending: Whether an append is under way.
         append_ms: Recent time of an append, smoothed.
@@ -46,9 +46,9 @@
         rejected: Items turned away.
     """
 
-    rate: float
+    appends_per_s: float
     urgent: deque[ItemT] = attrs.field(factory=deque)
-    lazy: deque[ItemT] = attrs.field(factory=deque)
+    deferred: deque[ItemT] = attrs.field(factory=deque)
     saved: float = MAX_SAVED_APPENDS
     saved_at_ms: int = 0
     lazy_since_ms: int = 0
@@ -81,21 +81,21 @@
         self.urgent.append(item)
         return Success(None)
 
-    def offer_lazily(self, item: ItemT, now_ms: int) -> None:
+    def defer(self, item: ItemT, now_ms: int) -> None:
         """Takes an item that nobody waits for."""
-        if not self.lazy:
+        if not self.deferred:
             self.lazy_since_ms = now_ms
-        self.lazy.append(item)
+        self.deferred.append(item)
 
     def _expected_wait_ms(self, now_ms: int) -> int:
         self._save(now_ms)
         batches = len(self.urgent) // MAX_BATCH + 1 + self.appending
         short = max(0.0, batches - self.saved)
-        by_rate = short * _MS_PER_S / self.rate
+        by_rate = short * _MS_PER_S / self.appends_per_s
         return math.ceil(max(by_rate, batches * self.append_ms))
 
     def _save(self, now_ms: int) -> None:
-        gained = (now_ms - self.saved_at_ms) * self.rate / _MS_PER_S
+        gained = (now_ms - self.saved_at_ms) * self.appends_per_s / _MS_PER_S
         self.saved = min(MAX_SAVED_APPENDS, self.saved + max(0.0, gained))
         self.saved_at_ms = now_ms
 
@@ -105,7 +105,7 @@
         Returns:
             Ms from now, 0 for at once.
         """
-        if self.appending or not (self.urgent or self.lazy):
+        if self.appending or not (self.urgent or self.deferred):
             return None
         self._save(now_ms)
         waits = [0, self.paused_until_ms - now_ms]
@@ -116,24 +116,26 @@
             needed = MAX_SAVED_APPENDS
             waits.append(self.lazy_since_ms + LAZY_WAIT_MS - now_ms)
         short = max(0.0, needed - self.saved)
-        waits.append(math.ceil(short * _MS_PER_S / self.rate))
+        waits.append(math.ceil(short * _MS_PER_S / self.appends_per_s))
         return max(waits)
 
-    def take(self, now_ms: int) -> list[ItemT]:
+    def next_batch(self, now_ms: int) -> list[ItemT]:
         """Returns the items of the next append; only when `wait_ms` is 0."""
         self._save(now_ms)
         self.saved -= 1.0
         self.appending = True
         batch = _pop(self.urgent, MAX_BATCH)
-        return batch + _pop(self.lazy, MAX_BATCH)
+        return batch + _pop(self.deferred, MAX_BATCH)
 
-    def appended(self, began_ms: int, now_ms: int) -> None:
+    def on_appended(self, began_ms: int, now_ms: int) -> None:
         """The append took effect and its answer came."""
         self.appending = False
         self.pause_ms = 0
         self.append_ms += ((now_ms - began_ms) - self.append_ms) / 8
 
-    def failed(self, now_ms: int, again: Sequence[ItemT]) -> list[ItemT]:
+    def on_append_failed(
+        self, now_ms: int, again: Sequence[ItemT]
+    ) -> list[ItemT]:
         """The append failed, or nobody knows whether it took effect.
 
         Made for an outage of the log: without a pause every keyed request
@@ -153,7 +155,7 @@
         )
         self.paused_until_ms = now_ms + self.pause_ms
         for item in reversed(again):
-            self.lazy.appendleft(item)
+            self.deferred.appendleft(item)
         self.lazy_since_ms = now_ms
         waiting = list(self.urgent)
         self.urgent.clear()
--- a/packages/pomelobank-core/src/pomelobank_core/_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claims.py
@@ -29,7 +29,7 @@
 # would look for the key in another stream, find nothing, and run a request a
 # second time. Sixteen streams spread the work over sixteen nodes and leave
 # each stream ten appends a second of a budget of 160.
-SHARDS = 16
+SHARD_COUNT = 16
 DIGEST_BYTES = 16
 
 
@@ -49,7 +49,7 @@
 
 def shard_of(key: bytes) -> int:
     """Returns the shard of a claim key."""
-    return int(xxhash.xxh3_64_intdigest(key)) % SHARDS
+    return int(xxhash.xxh3_64_intdigest(key)) % SHARD_COUNT
 
 
 def rank_claimants(shard: int, nodes: Iterable[str]) -> list[str]:
@@ -115,7 +115,7 @@
 
     Attributes:
         claim_id: Its identity.
-        request: Digest of the request.
+        request_digest: Digest of the request.
         at_ms: When its batch was written, since the epoch.
         expires_ms: When the key is forgotten, since the epoch.
         deadline_ms: When its request must have ended, since the epoch.
@@ -123,7 +123,7 @@
     """
 
     claim_id: ClaimId
-    request: bytes
+    request_digest: bytes
     at_ms: int
     expires_ms: int
     deadline_ms: int
@@ -167,20 +167,20 @@
 
     Attributes:
         next_offset: Offset of the next record to apply.
-        stream_ms: Newest time seen in the stream, since the epoch.
+        stream_time_ms: Newest time seen in the stream, since the epoch.
         complete_from_ms: Before this time claims may be missing, because the
             log had trimmed them when reading began; 0 where none can be.
         claims: The claims that hold their keys, oldest first.
     """
 
     next_offset: int = 0
-    stream_ms: int = 0
+    stream_time_ms: int = 0
     complete_from_ms: int = 0
     claims: dict[bytes, Claim] = attrs.field(factory=dict)
     trimmed: bool = False
     restarted_ms: int = 0
 
-    def restart(self, first_offset: int, now_ms: int) -> None:
+    def reset(self, first_offset: int, now_ms: int) -> None:
         """Begins again at the oldest record that the log still keeps.
 
         Args:
@@ -189,7 +189,7 @@
         """
         self.restarted_ms = now_ms
         self.next_offset = first_offset
-        self.stream_ms = 0
+        self.stream_time_ms = 0
         self.complete_from_ms = 0
         self.claims.clear()
         self.trimmed = first_offset > 0
@@ -212,8 +212,8 @@
         self.next_offset = offset + 1
         if self.trimmed:
             self._note_trimmed(offset, batch)
-        self.stream_ms = max(self.stream_ms, batch.at_ms)
-        self._forget_expired()
+        self.stream_time_ms = max(self.stream_time_ms, batch.at_ms)
+        self._evict_expired()
         # One copy of the writer's name instead of one for each claim.
         batch = attrs.evolve(batch, writer=sys.intern(batch.writer))
         events: list[ClaimEvent] = []
@@ -238,27 +238,27 @@
         if missing_until_ms:
             self.complete_from_ms = missing_until_ms + batch.window_ms
 
-    def _forget_expired(self) -> None:
+    def _evict_expired(self) -> None:
         # By the stream's time, never by the reader's own clock: two readers
         # whose clocks differ would forget a key at different records, and
         # each would see another claim win.
         while self.claims:
             key = next(iter(self.claims))
-            if self.claims[key].expires_ms > self.stream_ms:
+            if self.claims[key].expires_ms > self.stream_time_ms:
                 return
             del self.claims[key]
 
     def _claim(self, batch: ClaimBatch, entry: ClaimEntry) -> ClaimSeen:
         claim_id = ClaimId(batch.writer, entry.number)
-        held = self.find(entry.key, self.stream_ms)
+        held = self.find(entry.key, self.stream_time_ms)
         if held is None:
             self.claims.pop(entry.key, None)
             self.claims[entry.key] = Claim(
                 claim_id=claim_id,
-                request=entry.request,
-                at_ms=self.stream_ms,
-                expires_ms=self.stream_ms + batch.window_ms,
-                deadline_ms=self.stream_ms + entry.remaining_ms,
+                request_digest=entry.request,
+                at_ms=self.stream_time_ms,
+                expires_ms=self.stream_time_ms + batch.window_ms,
+                deadline_ms=self.stream_time_ms + entry.remaining_ms,
             )
         won = held is None or held.claim_id == claim_id
         return ClaimSeen(claim_id, entry.key, won)
@@ -297,11 +297,13 @@
             now_ms: Current time, since the epoch.
         """
         claim = self.claims.get(key)
-        if claim is None or claim.expires_ms <= max(now_ms, self.stream_ms):
+        if claim is None or claim.expires_ms <= max(
+            now_ms, self.stream_time_ms
+        ):
             return None
         return claim
 
-    def wait_for_window_ms(self, now_ms: int) -> int:
+    def window_wait_ms(self, now_ms: int) -> int:
         """Returns how long new keys must wait, 0 where they need not."""
         return max(0, self.complete_from_ms - now_ms)
 
--- a/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from pomelobank_core._latency import MAX_ROUTES, MovingAverage, UsualTime
+from pomelobank_core._latency import MAX_ROUTES, BaselineAverage, MovingAverage
 
 # A cold target gets a quarter of its slots; one more with every answer doubles
 # that within each round trip, so it is fully used after two rounds.
@@ -43,7 +43,7 @@
         cold: Whether the limit still grows from a cold start.
         reason: Why the limit is below the slots; empty where it is not.
         decreases: How often it was lowered.
-        usual_ms: Usual time of each route.
+        baselines: Usual time of each route.
         ratio: Recent times in relation to the usual ones.
         answers: Answers since the last step.
         shed_at: Limit at which the target shed last; 0 if it never did.
@@ -54,7 +54,7 @@
     cold: bool = True
     reason: str = "cold start"
     decreases: int = 0
-    usual_ms: dict[str, UsualTime] = attrs.field(factory=dict)
+    baselines: dict[str, BaselineAverage] = attrs.field(factory=dict)
     ratio: MovingAverage = attrs.field(
         factory=lambda: MovingAverage(weight=RECENT_WEIGHT)
     )
@@ -110,7 +110,7 @@
             self.shed_at = self.current
             self._step_down("target sheds", 1)
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Begins again after the target was lost: it comes back cold."""
         self.current = max(1, self.slots // COLD_PART)
         self.cold = True
@@ -118,11 +118,11 @@
         self.answers = 0
 
     def _ratio(self, route: str, took_ms: float) -> float:
-        usual = self.usual_ms.get(route)
+        usual = self.baselines.get(route)
         if usual is None:
-            if len(self.usual_ms) >= MAX_ROUTES:
+            if len(self.baselines) >= MAX_ROUTES:
                 return 1.0
-            usual = self.usual_ms[route] = UsualTime(USUAL_WEIGHT)
+            usual = self.baselines[route] = BaselineAverage(USUAL_WEIGHT)
         return usual.ratio(max(took_ms, 1.0))
 
     def _try_step_up(self) -> None:
@@ -174,5 +174,5 @@
     def shed(self) -> None:
         """Takes a request that was turned away; it changes nothing."""
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Takes the loss of the target; it changes nothing."""
--- a/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
@@ -11,7 +11,7 @@
 from pomelobank_core._concurrency import ConcurrencyLimit, SlotLimit
 from pomelobank_core._errors import ErrorKind
 from pomelobank_core._rank_load import Rank, RankLoad
-from pomelobank_core._recent_work import RecentWork
+from pomelobank_core._route_times import RouteTimes
 from pomelobank_core._tickets import (
     Queued,
     Rejected,
@@ -61,7 +61,7 @@
     Attributes:
         limit: Requests tried at once.
         seeded: Source of randomness.
-        times: Measured service times.
+        service_times: Measured service times.
         taken: Slot time that each rank was given lately.
         running: Requests at the target.
         queue: Waiting requests.
@@ -70,7 +70,7 @@
 
     limit: ConcurrencyLimit | SlotLimit
     seeded: random.Random = attrs.field(factory=random.Random)
-    times: RecentWork = attrs.field(factory=RecentWork)
+    service_times: RouteTimes = attrs.field(factory=RouteTimes)
     taken: RankLoad = attrs.field(factory=RankLoad)
     running: set[Ticket] = attrs.field(factory=set)
     queue: list[Ticket] = attrs.field(factory=list)
@@ -78,7 +78,7 @@
 
     @brief.default
     def _new_brief(self) -> BriefWork:
-        return BriefWork(self.times)
+        return BriefWork(self.service_times)
 
     @property
     def in_flight(self) -> int:
@@ -93,7 +93,11 @@
     def _offer_shared(self, ticket: Ticket, now_ms: float) -> Verdict:
         slots = self.limit.current
         ticket.brief = self.brief.includes(ticket.route, slots, now_ms)
-        if self.alone is None and self._has_slot() and not self.queue:
+        if (
+            self.isolated_request is None
+            and self._has_slot()
+            and not self.queue
+        ):
             self._take_in(ticket, now_ms)
             self._start(ticket, now_ms)
             return Started()
@@ -107,10 +111,11 @@
             # that, it would be found late only once its objective has passed,
             # with dozens of others, and be refused then: 431 of 2,388 at a
             # target that is asked for three times its work, 13 with this.
-            ticket.late = True
+            ticket.past_objective = True
             wait_ms = self.wait_ms(ticket, now_ms)
         if self._would_give_up(ticket, wait_ms, now_ms) or (
-            ticket.late and not self._may_wait_late(ticket, wait_ms, now_ms)
+            ticket.past_objective
+            and not self._may_wait_late(ticket, wait_ms, now_ms)
         ):
             return self._reject(
                 ErrorKind.OVERLOADED, self._return_ms(ticket, now_ms)
@@ -130,7 +135,7 @@
         self, ticket: Ticket, wait_ms: float, now_ms: float
     ) -> bool:
         needed_ms = wait_ms + SAFE_PART * self.expected_ms(ticket, now_ms)
-        return now_ms + needed_ms <= ticket.aim_at_ms
+        return now_ms + needed_ms <= ticket.objective_at_ms
 
     def _would_give_up(
         self, ticket: Ticket, wait_ms: float, now_ms: float
@@ -157,15 +162,15 @@
 
     def expected_ms(self, ticket: Ticket, now_ms: float) -> float:
         """Returns the time that a request usually takes, as known now."""
-        return self.times.of(ticket.route, now_ms)
+        return self.service_times.expected_ms(ticket.route, now_ms)
 
-    def usual_ms_of(self, route: str, now_ms: float) -> float:
+    def expected_service_ms(self, route: str, now_ms: float) -> float:
         """Returns the time that a route's requests usually take."""
-        return self.times.of(route, now_ms)
+        return self.service_times.expected_ms(route, now_ms)
 
-    def longest_usual_ms(self, now_ms: float) -> float:
+    def max_expected_service_ms(self, now_ms: float) -> float:
         """Returns the usual request time of the slowest route in ms."""
-        return self.times.longest_ms(now_ms)
+        return self.service_times.max_expected_ms(now_ms)
 
     def give_up_ms(self, ticket: Ticket) -> float:
         """Returns when a waiting request is better refused after all.
@@ -181,8 +186,8 @@
             return latest_ms
         room_ms = ticket.deadline_ms - ticket.offered_ms
         half_ms = ticket.offered_ms + FULL_WAIT_PART * room_ms
-        late_ms = ticket.aim_at_ms - usual_ms
-        if ticket.late:
+        late_ms = ticket.objective_at_ms - usual_ms
+        if ticket.past_objective:
             late_ms = ticket.offered_ms
         late_room_ms = max(0.0, ticket.deadline_ms - late_ms)
         return min(latest_ms, half_ms, late_ms + LATE_WAIT_PART * late_room_ms)
@@ -207,11 +212,13 @@
         self, own: tuple[int, bool, float], queue_wait_ms: float, now_ms: float
     ) -> float:
         slots = max(1, self.limit.current)
-        rest = self.taken.rest(Rank(own[0], own[1]), slots, now_ms)
+        rest = self.taken.available_fraction(
+            Rank(own[0], own[1]), slots, now_ms
+        )
         return queue_wait_ms / rest
 
     def _first_free_ms(self, now_ms: float) -> float:
-        if self.alone is None and self._has_slot():
+        if self.isolated_request is None and self._has_slot():
             return 0.0
         left_ms = sum(self._left_ms(item, now_ms) for item in self.running)
         slots = max(1, self.limit.current)
@@ -224,15 +231,19 @@
             return ticket.priority, False, -math.inf
         if self._is_late(ticket, now_ms):
             return ticket.priority, True, ticket.deadline_ms
-        spare_ms = ticket.aim_at_ms - now_ms - self.expected_ms(ticket, now_ms)
+        spare_ms = (
+            ticket.objective_at_ms - now_ms - self.expected_ms(ticket, now_ms)
+        )
         return ticket.priority, False, spare_ms
 
     def _is_late(self, ticket: Ticket, now_ms: float) -> bool:
         if ticket.brief:
             return False
-        if ticket.late:
+        if ticket.past_objective:
             return True
-        return ticket.aim_at_ms - now_ms < self.expected_ms(ticket, now_ms)
+        return ticket.objective_at_ms - now_ms < self.expected_ms(
+            ticket, now_ms
+        )
 
     def _left_ms(self, ticket: Ticket, now_ms: float) -> float:
         usual_ms = self.expected_ms(ticket, now_ms)
@@ -242,7 +253,7 @@
     def _has_slot(self) -> bool:
         return self.in_flight < self.limit.current
 
-    def _offer_alone(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _offer_isolated(self, ticket: Ticket, now_ms: float) -> Verdict:
         # One at a time: several would empty the target for each in turn and
         # take it from the requests that are no danger. Behind long work, the
         # target would stand idle for seconds; the suspect comes back later.
@@ -250,9 +261,9 @@
             (self._left_ms(item, now_ms) for item in self.running), default=0.0
         )
         room_ms = min(ticket.deadline_ms - now_ms, LONGEST_HOLD_MS)
-        if self.alone is not None or empty_ms > room_ms:
+        if self.isolated_request is not None or empty_ms > room_ms:
             return self._reject(ErrorKind.OVERLOADED, LONGEST_HOLD_MS)
-        return self._hold_for(ticket, now_ms)
+        return self._start_isolated(ticket, now_ms)
 
     def _occupy(self, ticket: Ticket) -> None:
         self.running.add(ticket)
@@ -279,7 +290,7 @@
         dropped = self._expected_to_give_up(now_ms)
         for ticket in dropped:
             self.queue.remove(ticket)
-        surplus = self._surplus_late(now_ms)
+        surplus = self._excess_past_objective(now_ms)
         for ticket in surplus:
             self.queue.remove(ticket)
         return dropped + surplus
@@ -301,7 +312,7 @@
                 queue_wait_ms += self.expected_ms(ticket, now_ms) / slots
         return giving_up
 
-    def _surplus_late(self, now_ms: float) -> list[Ticket]:
+    def _excess_past_objective(self, now_ms: float) -> list[Ticket]:
         # What was in time when it came and has become late since would be
         # overtaken by every newcomer until its half time is over.
         late = [item for item in self.queue if self._is_late(item, now_ms)]
@@ -320,4 +331,4 @@
     def _learn_time(
         self, ticket: Ticket, took_ms: float, now_ms: float
     ) -> None:
-        self.times.add(ticket.route, took_ms, now_ms)
+        self.service_times.add(ticket.route, took_ms, now_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/_hedging.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_hedging.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from pomelobank_core._recent_work import RecentWork
+from pomelobank_core._route_times import RouteTimes
 
 # Times the usual time of its route that a request is waited for. At two and a
 # half times, about one sound request in thirty is sent twice, and the second
@@ -25,16 +25,16 @@
     to a target with room, and only within the budget of retries.
 
     Attributes:
-        usual: Time to an answer, by route.
+        response_times: Time to an answer, by route.
     """
 
-    usual: RecentWork = attrs.field(factory=RecentWork)
+    response_times: RouteTimes = attrs.field(factory=RouteTimes)
 
     def add_response_time(
         self, route: str, took_ms: float, now_ms: float
     ) -> None:
         """Takes the time that an answer took."""
-        self.usual.add(route, took_ms, now_ms)
+        self.response_times.add(route, took_ms, now_ms)
 
     def delay_ms(
         self, route: str, left_ms: float, now_ms: float
@@ -49,8 +49,8 @@
         Returns:
             The time; None where a second answer would come too late.
         """
-        if route not in self.usual.by_route:
+        if route not in self.response_times.by_route:
             return None
-        usual_ms = self.usual.of(route, now_ms)
+        usual_ms = self.response_times.expected_ms(route, now_ms)
         after_ms = HEDGE_TIMES * usual_ms + HEDGE_MS
         return after_ms if after_ms + usual_ms < left_ms else None
--- a/packages/pomelobank-core/src/pomelobank_core/_latency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_latency.py
@@ -62,7 +62,7 @@
         """Returns a class's usual time in ms; 0 where none was measured."""
         return _value(self.by_class.get(traffic_class))
 
-    def longest_ms(self) -> float:
+    def max_ms(self) -> float:
         """Returns the slowest route's usual time in ms; 0 without routes."""
         return max(map(_value, self.by_route.values()), default=0.0)
 
@@ -72,7 +72,7 @@
 
 
 @attrs.define
-class UsualTime:
+class BaselineAverage:
     """Average over the past, to compare a recent time with.
 
     Attributes:
--- a/packages/pomelobank-core/src/pomelobank_core/_pace.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_latency_ratio.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from pomelobank_core._recent_work import RecentWork
+from pomelobank_core._route_times import RouteTimes
 
 # Share of a new sample. Times of one route vary by two thirds of their mean;
 # averaged like this they vary by a fifth, and a target that turns slow shows
@@ -13,11 +13,11 @@
 KNOWN_MS = 5000.0
 # Pace of a target about which nothing is known: aims of the users' routes are
 # three times the usual time.
-RELAXED = 1 / 3
+DEFAULT_LATENCY_RATIO = 1 / 3
 
 
 @attrs.define
-class Pace:
+class LatencyRatio:
     """Recent time to an answer as a part of its objective.
 
     One target answers look-ups, reports and calls of other services. A plain
@@ -29,7 +29,7 @@
         at_ms: When it was measured last; None before the first.
     """
 
-    value: float = RELAXED
+    value: float = DEFAULT_LATENCY_RATIO
     at_ms: float | None = None
 
     def add(self, sample: float, now_ms: float) -> None:
@@ -39,13 +39,15 @@
         self.value += SAMPLE_WEIGHT * (sample - self.value)
         self.at_ms = now_ms
 
-    def at(self, now_ms: float, otherwise: float = RELAXED) -> float:
+    def at(
+        self, now_ms: float, otherwise: float = DEFAULT_LATENCY_RATIO
+    ) -> float:
         """Returns the pace; the older it is, the nearer to another estimate.
 
         Without that, a target once found slow would get nothing, so nothing
         would be measured, and it would stay out for good.
 
-        >>> Pace(value=1.0, at_ms=0).at(2500, otherwise=0.5)
+        >>> LatencyRatio(value=1.0, at_ms=0).at(2500, otherwise=0.5)
         0.75
 
         Args:
@@ -63,12 +65,13 @@
     """Knows the time in which a route's answer is of full use.
 
     Attributes:
-        usual: Usual times of routes that name no objective, by data centre.
+        response_times: Usual times of routes that name no objective, by data
+            centre.
     """
 
-    usual: dict[str, RecentWork] = attrs.field(factory=dict)
+    response_times: dict[str, RouteTimes] = attrs.field(factory=dict)
 
-    def part(
+    def latency_ratio(
         self,
         route: str,
         aim_ms: float,
@@ -87,12 +90,14 @@
         """
         if aim_ms:
             return took_ms / aim_ms
-        self.usual.setdefault(centre, RecentWork()).add(route, took_ms, now_ms)
+        self.response_times.setdefault(centre, RouteTimes()).add(
+            route, took_ms, now_ms
+        )
         # Where it is fastest: next to its own average, a slow data centre
         # would look like any other.
         fastest_ms = min(
-            work.of(route, now_ms)
-            for work in self.usual.values()
+            work.expected_ms(route, now_ms)
+            for work in self.response_times.values()
             if route in work.by_route
         )
-        return RELAXED * took_ms / max(1.0, fastest_ms)
+        return DEFAULT_LATENCY_RATIO * took_ms / max(1.0, fastest_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/_rank_load.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_rank_load.py
@@ -8,10 +8,10 @@
 # Requests of the last second or so tell what will come in the next tenths, for
 # which a request may wait: less is noise at ten requests a second, and more
 # would keep a burst in mind that has passed.
-REMEMBER_MS = 1000.0
+DECAY_TIME_MS = 1000.0
 # Part of the slots that overtaking requests leave at the least. At nothing at
 # all every wait would be endless and no measurement could correct that.
-LEAST_REST = 0.02
+MIN_AVAILABLE_FRACTION = 0.02
 
 
 class Rank(NamedTuple):
@@ -19,15 +19,15 @@
 
     Attributes:
         priority: Priority of the route; 0 is the most urgent.
-        late: Whether the answer can no longer be in time.
+        past_objective: Whether the answer can no longer be in time.
     """
 
     priority: int
-    late: bool
+    past_objective: bool
 
 
 @attrs.define
-class FadingSum:
+class DecayingSum:
     """Slot time that fades.
 
     Attributes:
@@ -41,7 +41,7 @@
     def at(self, now_ms: float) -> float:
         """Returns what is left of it now."""
         age_ms = max(0.0, now_ms - self.at_ms)
-        return self.value_ms * math.exp(-age_ms / REMEMBER_MS)
+        return self.value_ms * math.exp(-age_ms / DECAY_TIME_MS)
 
     def add(self, work_ms: float, now_ms: float) -> None:
         """Adds slot time."""
@@ -65,7 +65,7 @@
         by_rank: Slot time by rank.
     """
 
-    by_rank: dict[Rank, FadingSum] = attrs.field(factory=dict)
+    by_rank: dict[Rank, DecayingSum] = attrs.field(factory=dict)
 
     def add(self, rank: Rank, work_ms: float, now_ms: float) -> None:
         """Takes a request that was let in.
@@ -75,14 +75,16 @@
             work_ms: Time that it will probably take of a slot.
             now_ms: Current time.
         """
-        self.by_rank.setdefault(rank, FadingSum()).add(work_ms, now_ms)
+        self.by_rank.setdefault(rank, DecayingSum()).add(work_ms, now_ms)
 
-    def rest(self, rank: Rank, slots: int, now_ms: float) -> float:
+    def available_fraction(
+        self, rank: Rank, slots: int, now_ms: float
+    ) -> float:
         """Returns the part of the slots that better ranks leave to one.
 
         >>> load = RankLoad()
         >>> load.add(Rank(0, False), 6000.0, now_ms=0.0)
-        >>> load.rest(Rank(1, False), slots=8, now_ms=0.0)
+        >>> load.available_fraction(Rank(1, False), slots=8, now_ms=0.0)
         0.25
 
         Args:
@@ -95,5 +97,5 @@
             for other, taken in self.by_rank.items()
             if other < rank
         )
-        part = before_ms / REMEMBER_MS / max(1, slots)
-        return max(LEAST_REST, 1.0 - part)
+        part = before_ms / DECAY_TIME_MS / max(1, slots)
+        return max(MIN_AVAILABLE_FRACTION, 1.0 - part)
--- a/packages/pomelobank-core/src/pomelobank_core/_recent_work.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_route_times.py
@@ -20,7 +20,7 @@
 
 
 @attrs.define
-class WorkTime:
+class RouteTime:
     """Recent time of one route.
 
     Attributes:
@@ -50,7 +50,7 @@
 
 
 @attrs.define
-class RecentWork:
+class RouteTimes:
     """Recent times of the routes of one target.
 
     Made for planning what a target can still do in time. A plain average
@@ -64,14 +64,14 @@
         by_route: Times by route.
     """
 
-    by_route: dict[str, WorkTime] = attrs.field(factory=dict)
+    by_route: dict[str, RouteTime] = attrs.field(factory=dict)
 
-    def of(self, route: str, now_ms: float) -> float:
+    def expected_ms(self, route: str, now_ms: float) -> float:
         """Returns the usual time of a route, in ms."""
         found = self.by_route.get(route)
         return UNMEASURED_MS if found is None else found.at(now_ms)
 
-    def longest_ms(self, now_ms: float) -> float:
+    def max_expected_ms(self, now_ms: float) -> float:
         """Returns the slowest route's usual time in ms; 0 without routes."""
         times = (found.at(now_ms) for found in self.by_route.values())
         return max(times, default=0.0)
@@ -82,5 +82,5 @@
         if found is None:
             if len(self.by_route) >= MAX_ROUTES:
                 return
-            found = self.by_route[route] = WorkTime(UNMEASURED_MS, now_ms)
+            found = self.by_route[route] = RouteTime(UNMEASURED_MS, now_ms)
         found.add(took_ms, now_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/_target_load.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_target_load.py
@@ -5,7 +5,7 @@
 import attrs
 
 from pomelobank_core._ejection import Ejection
-from pomelobank_core._pace import Pace
+from pomelobank_core._latency_ratio import LatencyRatio
 
 # What a target's node said of its load half a second ago says nothing now: at
 # 20 slots and 10 ms a request it has served a thousand since.
@@ -75,7 +75,7 @@
     own_requests: int = 0
     other_requests: int = 0
     reported_ms: float = -math.inf
-    latency_ratio: Pace = attrs.field(factory=Pace)
+    latency_ratio: LatencyRatio = attrs.field(factory=LatencyRatio)
     full_hints: dict[str, FullHint] = attrs.field(factory=dict)
     not_accepting_until_ms: float = 0.0
     ramp_from_ms: float = -math.inf
--- a/packages/pomelobank-core/src/pomelobank_core/_tickets.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_tickets.py
@@ -30,11 +30,11 @@
         traffic_class: Its class.
         route: Its route.
         deadline_ms: When its caller stops waiting.
-        alone: Whether nothing else may run beside it.
+        isolated: Whether nothing else may run beside it.
         priority: Its rank; 0 is the most urgent.
-        aim_at_ms: Until when an answer is of full use.
+        objective_at_ms: Until when an answer is of full use.
         max_wait_ms: Longest expected wait with which it is taken.
-        late: Whether it was let in though its answer will be late.
+        past_objective: Whether it was let in though its answer will be late.
         brief: Whether it takes a small part of the target's other work.
         offered_ms: When it came.
         started_ms: When it went to the target; None before.
@@ -43,11 +43,11 @@
     traffic_class: TrafficClass
     route: str
     deadline_ms: float
-    alone: bool = False
+    isolated: bool = False
     priority: int = 0
-    aim_at_ms: float = math.inf
+    objective_at_ms: float = math.inf
     max_wait_ms: float = math.inf
-    late: bool = False
+    past_objective: bool = False
     brief: bool = False
     offered_ms: float = 0.0
     started_ms: float | None = None
--- a/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
@@ -10,8 +10,12 @@
 
 from pomelobank_core._candidates import Candidates
 from pomelobank_core._ejection import may_eject
+from pomelobank_core._latency_ratio import (
+    DEFAULT_LATENCY_RATIO,
+    LatencyRatio,
+    Objectives,
+)
 from pomelobank_core._load_balancer import RequestOutcome, TargetResult
-from pomelobank_core._pace import RELAXED, Objectives, Pace
 from pomelobank_core._target_load import FullHint, Ramp, TargetLoad
 from pomelobank_schema.generated.peer import MemberEntry
 
@@ -65,7 +69,9 @@
     overflows: int = 0
     known: dict[str, Candidates] = attrs.field(factory=dict)
     objectives: Objectives = attrs.field(factory=Objectives)
-    latency_ratios: dict[tuple[str, str], Pace] = attrs.field(factory=dict)
+    latency_ratios: dict[tuple[str, str], LatencyRatio] = attrs.field(
+        factory=dict
+    )
 
     def pick(
         self,
@@ -213,12 +219,12 @@
         now_ms: float,
     ) -> None:
         centre = target.data_centre
-        part = self.objectives.part(
+        part = self.objectives.latency_ratio(
             seen.route, seen.aim_ms, centre, seen.took_ms, now_ms
         )
         load.latency_ratio.add(part, now_ms)
         around = self.latency_ratios.setdefault(
-            (target.upstream, centre), Pace()
+            (target.upstream, centre), LatencyRatio()
         )
         around.add(part, now_ms)
 
@@ -226,7 +232,7 @@
         # A node hears of each of many far targets once in a while only; those
         # beside them tell as much.
         around = self.latency_ratios.get((target.upstream, target.data_centre))
-        usual = RELAXED if around is None else around.at(now_ms)
+        usual = DEFAULT_LATENCY_RATIO if around is None else around.at(now_ms)
         return self._load(target).latency_ratio.at(now_ms, usual)
 
     def _compare(self, candidates: Candidates, now_ms: float) -> None:
@@ -324,7 +330,7 @@
     ) -> bool:
         if self._is_full(near, traffic_class, now_ms):
             return True
-        return self._pace(near, now_ms) > RELAXED + FAR_PART
+        return self._pace(near, now_ms) > DEFAULT_LATENCY_RATIO + FAR_PART
 
     def _is_better(
         self,
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
@@ -196,12 +196,12 @@
     admission = Admission(SHARED, ConcurrencyLimit(4, 4, False), 1000)
     innocent = Ticket(INTERACTIVE, "r", 10_000)
     admission.offer(innocent, 0)
-    suspect = Ticket(INTERACTIVE, "s", 10_000, alone=True)
+    suspect = Ticket(INTERACTIVE, "s", 10_000, isolated=True)
     later = Ticket(INTERACTIVE, "r", 10_000)
     admission.offer(suspect, 1)
     admission.offer(later, 2)
     assert isinstance(
-        admission.offer(Ticket(INTERACTIVE, "s", 10_000, alone=True), 3),
+        admission.offer(Ticket(INTERACTIVE, "s", 10_000, isolated=True), 3),
         Rejected,
     )
     change = admission.finish(innocent, WorkResult.RESPONDED, 5)
@@ -274,9 +274,9 @@
     assert admission.waiting == len(waiting)
     # More run than the limit only where the limit fell meanwhile.
     assert len(running) <= max(admission.limit.current, before)
-    if any(ticket.alone for ticket in running):
+    if any(ticket.isolated for ticket in running):
         assert len(running) == 1
-    if admission.alone is None and admission.policy is SHARED:
+    if admission.isolated_request is None and admission.policy is SHARED:
         _check_parts(admission)
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_patience.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_caller_timeouts.py
@@ -4,20 +4,20 @@
 
 import pytest
 
-from pomelobank_core import CallerPatience
+from pomelobank_core import CallerTimeouts
 
 FULL_MS = 800
 
 
-def _learnt(back_part: float) -> CallerPatience:
+def _learnt(back_part: float) -> CallerTimeouts:
     """Returns what is known after a thousand callers, some of them back."""
     seeded = random.Random(1)
-    patience = CallerPatience()
+    patience = CallerTimeouts()
     for _ in range(1000):
         given_ms = FULL_MS * seeded.uniform(0.85, 1.0)
         if seeded.random() < back_part:
             given_ms -= 260
-        patience.spent_ms("stock", round(given_ms))
+        patience.elapsed_ms("stock", round(given_ms))
     return patience
 
 
@@ -36,8 +36,8 @@
     time, and their own answers are late all the same.
     """
     patience = _learnt(back_part)
-    back = patience.spent_ms("stock", round(0.92 * FULL_MS - 260))
-    new = patience.spent_ms("stock", round(0.92 * FULL_MS))
+    back = patience.elapsed_ms("stock", round(0.92 * FULL_MS - 260))
+    new = patience.elapsed_ms("stock", round(0.92 * FULL_MS))
     assert back > 150
     assert new == 0
 
@@ -49,18 +49,18 @@
     come back and nobody would be served first.
     """
     seeded = random.Random(1)
-    patience = CallerPatience()
+    patience = CallerTimeouts()
     for _ in range(2000):
         given_ms = FULL_MS * (10 if seeded.random() < 0.05 else 1)
-        patience.spent_ms("stock", given_ms)
-    assert patience.spent_ms("stock", FULL_MS) < 0.1 * FULL_MS
+        patience.elapsed_ms("stock", given_ms)
+    assert patience.elapsed_ms("stock", FULL_MS) < 0.1 * FULL_MS
 
 
 def test_routes_are_kept_apart() -> None:
-    patience = CallerPatience()
-    patience.spent_ms("slow", 20_000)
-    assert patience.spent_ms("fast", 200) == 0
-    assert patience.spent_ms("fast", 100) == pytest.approx(100, abs=5)
+    patience = CallerTimeouts()
+    patience.elapsed_ms("slow", 20_000)
+    assert patience.elapsed_ms("fast", 200) == 0
+    assert patience.elapsed_ms("fast", 100) == pytest.approx(100, abs=5)
 
 
 def test_a_newcomer_who_is_less_patient_is_no_returning_caller() -> None:
@@ -70,4 +70,4 @@
     to have used half of it, and would be served after everybody else.
     """
     patience = _learnt(0.0)
-    assert patience.spent_ms("stock", round(0.85 * FULL_MS)) == 0
+    assert patience.elapsed_ms("stock", round(0.85 * FULL_MS)) == 0
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claim_attempts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claim_attempts.py
@@ -8,14 +8,14 @@
     ClaimAttemptStep,
     ClaimId,
     RunState,
-    claim_seen,
-    give_up,
-    run_ended,
+    abandon,
+    on_claim_seen,
+    on_run_ended,
 )
 
 PENDING = ClaimAttempt(ClaimId("x", 1), b"a", deadline_ms=100)
-RUNNING, _ = claim_seen(PENDING, True, 0)
-ABANDONED = give_up(PENDING)
+RUNNING, _ = on_claim_seen(PENDING, True, 0)
+ABANDONED = abandon(PENDING)
 
 
 @pytest.mark.parametrize(
@@ -34,7 +34,7 @@
 def test_claim_seen(
     attempt: ClaimAttempt, won: bool, now_ms: int, step: ClaimAttemptStep
 ) -> None:
-    assert claim_seen(attempt, won, now_ms)[1] is step
+    assert on_claim_seen(attempt, won, now_ms)[1] is step
 
 
 @pytest.mark.parametrize(
@@ -46,10 +46,10 @@
     ],
 )
 def test_run_ended(run_state: RunState, step: ClaimAttemptStep) -> None:
-    ended, found = run_ended(RUNNING, run_state)
+    ended, found = on_run_ended(RUNNING, run_state)
     assert (ended.state, found) == (ClaimAttemptState.ENDED, step)
-    assert run_ended(ended, run_state)[1] is ClaimAttemptStep.NOTHING
+    assert on_run_ended(ended, run_state)[1] is ClaimAttemptStep.NOTHING
 
 
 def test_a_running_attempt_cannot_be_given_up() -> None:
-    assert give_up(RUNNING) is RUNNING
+    assert abandon(RUNNING) is RUNNING
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claim_batcher.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claim_batcher.py
@@ -11,49 +11,49 @@
 
 
 def batcher() -> ClaimBatcher[int]:
-    return ClaimBatcher(rate=RATE)
+    return ClaimBatcher(appends_per_s=RATE)
 
 
 def test_a_lone_claim_goes_out_at_once() -> None:
     shard = batcher()
     assert shard.offer(1, 0, PATIENCE_MS) == Success(None)
     assert shard.wait_ms(0) == 0
-    assert shard.take(0) == [1]
+    assert shard.next_batch(0) == [1]
 
 
 def test_claims_that_come_during_an_append_share_the_next() -> None:
     shard = batcher()
     shard.offer(0, 0, PATIENCE_MS)
-    shard.take(0)
+    shard.next_batch(0)
     for item in range(1, 50):
         shard.offer(item, 1, PATIENCE_MS)
     assert shard.wait_ms(2) is None
-    shard.appended(0, 3)
-    assert shard.take(3) == list(range(1, 50))
+    shard.on_appended(0, 3)
+    assert shard.next_batch(3) == list(range(1, 50))
 
 
 def test_lazy_items_ride_along_or_wait_a_bounded_time() -> None:
     shard = batcher()
-    shard.offer_lazily(7, 0)
+    shard.defer(7, 0)
     assert shard.wait_ms(0) == 200
     shard.offer(1, 50, PATIENCE_MS)
     assert shard.wait_ms(50) == 0
-    assert shard.take(50) == [1, 7]
+    assert shard.next_batch(50) == [1, 7]
 
 
 def test_lazy_items_leave_appends_for_the_next_claims() -> None:
     shard = batcher()
     for _ in range(2):
         shard.offer(1, 0, PATIENCE_MS)
-        shard.take(0)
-        shard.appended(0, 0)
-    shard.offer_lazily(7, 0)
+        shard.next_batch(0)
+        shard.on_appended(0, 0)
+    shard.defer(7, 0)
     assert shard.wait_ms(0) == 200
     shard.offer(1, 0, PATIENCE_MS)
     assert shard.wait_ms(0) == 0
-    shard.take(0)
-    shard.appended(0, 0)
-    shard.offer_lazily(8, 0)
+    shard.next_batch(0)
+    shard.on_appended(0, 0)
+    shard.defer(8, 0)
     assert shard.wait_ms(0) == 300
 
 
@@ -84,9 +84,9 @@
     while now_ms < 10_000:
         shard.offer(now_ms, now_ms, PATIENCE_MS)
         if shard.wait_ms(now_ms) == 0:
-            shard.take(now_ms)
+            shard.next_batch(now_ms)
             tried += 1
-            shard.failed(now_ms, [])
+            shard.on_append_failed(now_ms, [])
         now_ms += 10
     assert 5 <= tried <= 9
     assert isinstance(shard.offer(1, now_ms, PATIENCE_MS), Success | Failure)
@@ -94,14 +94,14 @@
 
 def test_what_must_be_appended_again_goes_first() -> None:
     shard = batcher()
-    shard.offer_lazily(1, 0)
-    shard.offer_lazily(2, 0)
-    shard.take(200)
+    shard.defer(1, 0)
+    shard.defer(2, 0)
+    shard.next_batch(200)
     shard.offer(3, 201, PATIENCE_MS)
-    shard.offer_lazily(4, 201)
-    assert shard.failed(210, [1, 2]) == [3]
+    shard.defer(4, 201)
+    assert shard.on_append_failed(210, [1, 2]) == [3]
     assert shard.wait_ms(210) == 200
-    assert shard.take(410) == [1, 2, 4]
+    assert shard.next_batch(410) == [1, 2, 4]
 
 
 @given(st.lists(st.integers(0, 60), min_size=1, max_size=200))
@@ -113,7 +113,7 @@
         now_ms += gap_ms
         shard.offer(now_ms, now_ms, PATIENCE_MS)
         if shard.wait_ms(now_ms) == 0:
-            shard.take(now_ms)
+            shard.next_batch(now_ms)
             appends += 1
-            shard.appended(now_ms, now_ms + 1)
+            shard.on_appended(now_ms, now_ms + 1)
     assert appends <= 4 + now_ms * RATE / 1000 + 1
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from pomelobank_core import (
-    SHARDS,
+    SHARD_COUNT,
     Claim,
     ClaimEnded,
     ClaimId,
@@ -140,13 +140,13 @@
     claimed in the missing part. A user would see an order lodged twice.
     """
     table = ClaimTable()
-    table.restart(5, now_ms=800)
+    table.reset(5, now_ms=800)
     first = attrs.evolve(
         claim("x", 6, at_ms=700), previous_at_ms=600, seen_offset=seen_offset
     )
     table.apply(5, first)
-    assert table.wait_for_window_ms(now_ms=700) == complete_from_ms - 700
-    assert table.wait_for_window_ms(now_ms=complete_from_ms) == 0
+    assert table.window_wait_ms(now_ms=700) == complete_from_ms - 700
+    assert table.window_wait_ms(now_ms=complete_from_ms) == 0
 
 
 def test_full_table_refuses_rather_than_forgets() -> None:
@@ -168,7 +168,7 @@
 
 def test_a_node_that_goes_moves_only_its_own_shards() -> None:
     nodes = [f"node-{index}" for index in range(20)]
-    for shard in range(SHARDS):
+    for shard in range(SHARD_COUNT):
         first, second = rank_claimants(shard, nodes)[:2]
         left = [node for node in nodes if node != first]
         assert rank_claimants(shard, left)[0] == second
@@ -176,7 +176,7 @@
 
 def test_keys_spread_over_all_shards() -> None:
     shards = {shard_of(claim_key(f"s\n{index}")) for index in range(500)}
-    assert shards == set(range(SHARDS))
+    assert shards == set(range(SHARD_COUNT))
 
 
 batches = st.lists(
@@ -219,7 +219,7 @@
         before = dict(table.claims)
         table.apply(offset, batch)
         for key, held in before.items():
-            if held.expires_ms <= table.stream_ms:
+            if held.expires_ms <= table.stream_time_ms:
                 continue
             after = table.claims.get(key)
             released = _released(batch, key, held)
@@ -250,7 +250,7 @@
     if not left or records[cut - 1].at_ms + WINDOW_MS > left[0].at_ms:
         return
     late = ClaimTable()
-    late.restart(cut, now_ms=0)
+    late.reset(cut, now_ms=0)
     for batch in left:
         late.apply(late.next_offset, batch)
     for key in KEYS:
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_model.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_model.py
@@ -28,10 +28,10 @@
     ClaimStatus,
     ClaimTable,
     RunState,
-    claim_seen,
+    abandon,
     combine_run_states,
-    give_up,
-    run_ended,
+    on_claim_seen,
+    on_run_ended,
 )
 from pomelobank_schema.generated.records import (
     ClaimBatch,
@@ -139,9 +139,9 @@
     """The functions that the nodes act by; a mutation replaces one."""
 
     table: type[ClaimTable] = ClaimTable
-    seen: Callable[..., tuple[ClaimAttempt, ClaimAttemptStep]] = claim_seen
-    give_up: Callable[[ClaimAttempt], ClaimAttempt] = give_up
-    ended: Callable[..., tuple[ClaimAttempt, ClaimAttemptStep]] = run_ended
+    seen: Callable[..., tuple[ClaimAttempt, ClaimAttemptStep]] = on_claim_seen
+    give_up: Callable[[ClaimAttempt], ClaimAttempt] = abandon
+    ended: Callable[..., tuple[ClaimAttempt, ClaimAttemptStep]] = on_run_ended
     combine: Callable[[RunState, RunState], RunState] = combine_run_states
     reads_back: bool = True
     appends_again: bool = False
@@ -452,14 +452,14 @@
     """Mutation: a claim that was given up runs when it shows up."""
     if attempt.state is ClaimAttemptState.ABANDONED:
         attempt = attrs.evolve(attempt, state=ClaimAttemptState.PENDING)
-    return claim_seen(attempt, won, now_ms)
+    return on_claim_seen(attempt, won, now_ms)
 
 
 def abandoned_stays(
     attempt: ClaimAttempt, won: bool, now_ms: int
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """Mutation: a claim that was given up is not released."""
-    seen, step = claim_seen(attempt, won, now_ms)
+    seen, step = on_claim_seen(attempt, won, now_ms)
     if attempt.state is ClaimAttemptState.ABANDONED:
         step = ClaimAttemptStep.NOTHING
     return seen, step
@@ -469,21 +469,21 @@
     attempt: ClaimAttempt, won: bool, now_ms: int
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """Mutation: the claim runs whether it holds the key or not."""
-    return claim_seen(attempt, True, now_ms)
+    return on_claim_seen(attempt, True, now_ms)
 
 
 def running_gives_up(attempt: ClaimAttempt) -> ClaimAttempt:
     """Mutation: a request that may be at a target is called not run."""
     if attempt.state is ClaimAttemptState.RUNNING:
         return attrs.evolve(attempt, deadline_ms=2 * DEADLINE_MS)
-    return give_up(attempt)
+    return abandon(attempt)
 
 
 def unknown_releases(
     attempt: ClaimAttempt, run_state: RunState
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """Mutation: a request whose answer was lost frees its key."""
-    ended, _ = run_ended(attempt, run_state)
+    ended, _ = on_run_ended(attempt, run_state)
     return ended, ClaimAttemptStep.RELEASE
 
 
@@ -491,7 +491,7 @@
     attempt: ClaimAttempt, run_state: RunState
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """Mutation: a request that did not run keeps its key."""
-    ended, _ = run_ended(attempt, run_state)
+    ended, _ = on_run_ended(attempt, run_state)
     return ended, ClaimAttemptStep.COMPLETE
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_window_model.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_window_model.py
@@ -76,16 +76,16 @@
 class ForgetsTrimming(ClaimTable):
     """Mutation: a reader that begins late takes every key for new."""
 
-    def wait_for_window_ms(self, now_ms: int) -> int:
+    def window_wait_ms(self, now_ms: int) -> int:
         return 0
 
 
 class ForgetsEarly(ClaimTable):
     """Mutation: a key is forgotten before its window has passed."""
 
-    def _forget_expired(self) -> None:
+    def _evict_expired(self) -> None:
         for key, claim in list(self.claims.items()):
-            if claim.expires_ms - 1 <= self.stream_ms:
+            if claim.expires_ms - 1 <= self.stream_time_ms:
                 del self.claims[key]
 
 
@@ -125,7 +125,7 @@
         self, begin: int, began_ms: int, numbers: tuple[int, ...]
     ) -> tuple[ClaimTable, list[Any]]:
         table = self.table()
-        table.restart(begin, began_ms)
+        table.reset(begin, began_ms)
         events: list[Any] = []
         for number in numbers:
             events = table.apply(table.next_offset, self.by_number[number])
@@ -196,7 +196,7 @@
     def claim(self, world: World, index: int, reader: Reader) -> World | None:
         table, _ = self.replay(world, reader)
         free = table.find(KEY, world.now_ms) is None
-        if not free or table.wait_for_window_ms(world.now_ms):
+        if not free or table.window_wait_ms(world.now_ms):
             return None
         number = reader.claims + 1
         entry = ClaimEntry(key=KEY, number=number)
@@ -209,8 +209,8 @@
         table, _ = self.replay(world, reader)
         batch = ClaimBatch(
             writer=str(index),
-            at_ms=max(world.now_ms, table.stream_ms),
-            previous_at_ms=table.stream_ms,
+            at_ms=max(world.now_ms, table.stream_time_ms),
+            previous_at_ms=table.stream_time_ms,
             seen_offset=table.next_offset,
             window_ms=WINDOW_MS,
             claims=entries,
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
@@ -76,7 +76,7 @@
             work.route,
             now_ms + work.timeout_ms,
             priority=0 if self.first_come else work.priority,
-            aim_at_ms=now_ms
+            objective_at_ms=now_ms
             + (work.timeout_ms if self.first_come else work.aim_ms),
         )
         self.work[ticket] = work
@@ -199,14 +199,17 @@
         ConcurrencyLimit(1, current=1, cold=False), random.Random(1)
     )
     running, waiting = (
-        Ticket(TrafficClass.BATCH, "list", 4000, priority=2, aim_at_ms=3000)
+        Ticket(
+            TrafficClass.BATCH, "list", 4000, priority=2, objective_at_ms=3000
+        )
         for _ in range(2)
     )
     admission.offer(running, 0)
     assert isinstance(admission.offer(waiting, 0), Queued)
     for _ in range(30):
         admission.offer(
-            Ticket(TrafficClass.INTERNAL, "call", 6000, aim_at_ms=6000), 10
+            Ticket(TrafficClass.INTERNAL, "call", 6000, objective_at_ms=6000),
+            10,
         )
     change = admission.finish(running, WorkResult.RESPONDED, 100)
     assert waiting in change.expired
@@ -270,7 +273,9 @@
     admission = target.admission
     times = []
     for _ in range(300):
-        ticket = Ticket(TrafficClass.INTERACTIVE, "a", 1000, aim_at_ms=300)
+        ticket = Ticket(
+            TrafficClass.INTERACTIVE, "a", 1000, objective_at_ms=300
+        )
         verdict = admission.offer(ticket, 0)
         if isinstance(verdict, Rejected):
             times.append(verdict.retry_after_ms)
@@ -287,7 +292,7 @@
     """
     target = Target()
     admission = target.admission
-    slow = Ticket(TrafficClass.INTERNAL, "call", 5000, aim_at_ms=150)
+    slow = Ticket(TrafficClass.INTERNAL, "call", 5000, objective_at_ms=150)
     admission.offer(slow, 0)
     admission.finish(slow, WorkResult.RESPONDED, 2000)
     target.events.now_ms = 2000
--- a/packages/pomelobank-node/src/pomelobank_node/_claims.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims.py
@@ -9,7 +9,7 @@
 
 from pomelobank_core import (
     ERROR_RESPONSES,
-    SHARDS,
+    SHARD_COUNT,
     ClaimBatcher,
     Clock,
     ErrorKind,
@@ -23,8 +23,8 @@
     request_digest,
     shard_of,
 )
-from pomelobank_node._claims_flight import KeyedRequest
 from pomelobank_node._claims_shard import DispatchFunction, ShardWorker
+from pomelobank_node._keyed_requests import KeyedRequest
 from pomelobank_node._log import Log
 from pomelobank_node._peer_links import PeerLinks
 from pomelobank_node._requests import (
@@ -84,7 +84,9 @@
     writer: str = ""
     responses: ResponseStore = attrs.field(init=False)
     workers: dict[int, ShardWorker] = attrs.field(factory=dict)
-    numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
+    claim_numbers: Iterator[int] = attrs.field(
+        factory=lambda: itertools.count(1)
+    )
     forwarded: int = 0
     sent_twice: int = 0
     draining: bool = False
@@ -148,7 +150,7 @@
             await asyncio.sleep(_IDLE_CHECK_S)
             before_ms = self.clock.now_ms() - SHARD_IDLE_MS
             for shard, worker in list(self.workers.items()):
-                if worker.idle and worker.used_ms < before_ms:
+                if worker.idle and worker.last_used_ms < before_ms:
                     del self.workers[shard]
                     await worker.stop()
 
@@ -234,7 +236,7 @@
         shard = shard_of(keyed.key)
         worker = self.workers.get(shard)
         if worker is None:
-            rate = self.settings.appends_per_second / SHARDS
+            rate = self.settings.appends_per_second / SHARD_COUNT
             worker = self.workers[shard] = ShardWorker(
                 shard=shard,
                 writer=self.writer,
@@ -242,9 +244,9 @@
                 clock=self.clock,
                 settings=self.settings,
                 responses=self.responses,
-                numbers=self.numbers,
+                claim_numbers=self.claim_numbers,
                 dispatch=self.dispatch,
-                batcher=ClaimBatcher(rate=rate),
+                batcher=ClaimBatcher(appends_per_s=rate),
             )
             worker.start()
         return worker
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_reader.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_reader.py
@@ -25,16 +25,16 @@
 class ClaimListener(Protocol):
     """Hears what the stream says."""
 
-    def seen(self, event: ClaimSeen) -> None:
+    def on_claim_seen(self, event: ClaimSeen) -> None:
         """Takes a claim that was read."""
 
-    def ended(self, event: ClaimEnded) -> None:
+    def on_claim_ended(self, event: ClaimEnded) -> None:
         """Takes the end of a claim that was read."""
 
-    def written(self, batch: ClaimBatch) -> None:
+    def on_batch_written(self, batch: ClaimBatch) -> None:
         """Takes a batch after its events."""
 
-    def history_lost(self) -> None:
+    def on_history_lost(self) -> None:
         """Records were trimmed before they were read."""
 
 
@@ -87,8 +87,8 @@
         # The trimmed records may hold an earlier claim of a key that is just
         # being claimed: read without them, the later claim would seem to win
         # and its request run a second time. So no pending claim may run.
-        self.listener.history_lost()
-        self.table.restart(first_offset, self.clock.wall_ms())
+        self.listener.on_history_lost()
+        self.table.reset(first_offset, self.clock.wall_ms())
         self.caught_up.clear()
         self.blocked = False
 
@@ -124,7 +124,7 @@
         assert isinstance(batch, ClaimBatch)
         for event in self.table.apply(offset, batch):
             if isinstance(event, ClaimSeen):
-                self.listener.seen(event)
+                self.listener.on_claim_seen(event)
             else:
-                self.listener.ended(event)
-        self.listener.written(batch)
+                self.listener.on_claim_ended(event)
+        self.listener.on_batch_written(batch)
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
@@ -22,19 +22,19 @@
     ErrorKind,
     ResponseStore,
     RunState,
-    claim_seen,
+    abandon,
     completion_record,
-    give_up,
-    run_ended,
+    on_claim_seen,
+    on_run_ended,
 )
-from pomelobank_node._claims_flight import (
-    Flight,
+from pomelobank_node._claims_reader import ClaimReader
+from pomelobank_node._claims_writer import BatchItem, ClaimWriter, wait_event
+from pomelobank_node._keyed_requests import (
     KeyedRequest,
+    RunningRequest,
     replayed_reply,
     stored_response,
 )
-from pomelobank_node._claims_reader import ClaimReader
-from pomelobank_node._claims_writer import ClaimWriter, Item, wait_event
 from pomelobank_node._log import Log
 from pomelobank_node._requests import (
     ForwardReply,
@@ -78,7 +78,7 @@
         clock: Tells the time.
         settings: Limits.
         responses: Answers kept for resends.
-        numbers: Source of claim numbers.
+        claim_numbers: Source of claim numbers.
         dispatch: Runs a request on a target.
         batcher: Decides when to append.
         table: The stream's state.
@@ -87,7 +87,7 @@
         flights: Requests that this node claims or runs, by claim key.
         pending: Flights whose claim was not seen yet, by claim number.
         releasing: Own claims whose release was not seen yet.
-        used_ms: When a request last came in.
+        last_used_ms: When a request last came in.
     """
 
     shard: int
@@ -96,16 +96,16 @@
     clock: Clock
     settings: ClaimSettings
     responses: ResponseStore
-    numbers: Iterator[int]
+    claim_numbers: Iterator[int]
     dispatch: DispatchFunction
-    batcher: ClaimBatcher[Item]
+    batcher: ClaimBatcher[BatchItem]
     table: ClaimTable = attrs.field(factory=ClaimTable)
     out: ClaimWriter = attrs.field(init=False)
     reader: ClaimReader = attrs.field(init=False)
-    flights: dict[bytes, Flight] = attrs.field(factory=dict)
-    pending: dict[int, Flight] = attrs.field(factory=dict)
+    flights: dict[bytes, RunningRequest] = attrs.field(factory=dict)
+    pending: dict[int, RunningRequest] = attrs.field(factory=dict)
     releasing: set[ClaimId] = attrs.field(factory=set)
-    used_ms: int = 0
+    last_used_ms: int = 0
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     def __attrs_post_init__(self) -> None:
@@ -172,7 +172,7 @@
         Raises:
             RequestError: If it was not run or nobody knows.
         """
-        self.used_ms = self.clock.now_ms()
+        self.last_used_ms = self.clock.now_ms()
         await self._catch_up(keyed)
         while True:
             flight = self.flights.get(keyed.key)
@@ -205,7 +205,7 @@
     async def _held_elsewhere(
         self, keyed: KeyedRequest, claim: Claim
     ) -> ForwardReply:
-        if claim.request != keyed.digest:
+        if claim.request_digest != keyed.digest:
             raise RequestError(ErrorKind.KEY_MISMATCH)
         if claim.status is ClaimStatus.HELD:
             found = await self._await_holder(keyed, claim)
@@ -244,7 +244,7 @@
         return current
 
     async def _wait_for(
-        self, flight: Flight, keyed: KeyedRequest
+        self, flight: RunningRequest, keyed: KeyedRequest
     ) -> ForwardReply | None:
         flight.waiters += 1
         try:
@@ -260,16 +260,16 @@
             raise RequestError(ErrorKind.DEADLINE_UNKNOWN)
         raise RequestError(ErrorKind.DEADLINE_NOT_RUN)
 
-    def _give_up(self, flight: Flight) -> None:
-        flight.attempt = give_up(flight.attempt)
+    def _give_up(self, flight: RunningRequest) -> None:
+        flight.attempt = abandon(flight.attempt)
         if flight.attempt.state is ClaimAttemptState.ABANDONED:
             flight.decide(ClaimAttemptStep.NOTHING)
 
     # One attempt.
 
-    def _begin(self, keyed: KeyedRequest) -> Flight:
+    def _begin(self, keyed: KeyedRequest) -> RunningRequest:
         self._check_room()
-        number = next(self.numbers)
+        number = next(self.claim_numbers)
         attempt = ClaimAttempt(
             ClaimId(self.writer, number), keyed.key, keyed.deadline_ms
         )
@@ -281,7 +281,7 @@
             remaining_ms=self._left_ms(keyed),
         )
         self.out.claim(entry, patience_ms)
-        flight = Flight(keyed, attempt)
+        flight = RunningRequest(keyed, attempt)
         self.flights[keyed.key] = flight
         self.pending[number] = flight
         self._spawn(self._fly(flight, patience_ms), f"claim-{number}")
@@ -292,13 +292,13 @@
             raise RequestError(ErrorKind.CLAIM_UNAVAILABLE)
         wall_ms = self.clock.wall_ms()
         wait_ms = max(
-            self.table.wait_for_window_ms(wall_ms),
+            self.table.window_wait_ms(wall_ms),
             self.table.capacity_wait_ms(wall_ms, self.settings.keys_per_shard),
         )
         if wait_ms:
             raise RequestError(ErrorKind.CLAIM_UNAVAILABLE, wait_ms)
 
-    async def _fly(self, flight: Flight, patience_ms: int) -> None:
+    async def _fly(self, flight: RunningRequest, patience_ms: int) -> None:
         await asyncio.wait({flight.step}, timeout=patience_ms / _MS_PER_S)
         self._give_up(flight)
         step = (
@@ -313,9 +313,9 @@
         # the waiting callers look up.
         del self.flights[flight.keyed.key]
         self._forget_body(flight)
-        flight.end(_unrun_reply(step))
+        flight.finish(_unrun_reply(step))
 
-    async def _run(self, flight: Flight) -> None:
+    async def _run(self, flight: RunningRequest) -> None:
         keyed = flight.keyed
         try:
             request = attrs.evolve(
@@ -337,18 +337,18 @@
             reply = error_reply(0, RequestError(ErrorKind.INTERNAL))
         self._ran(flight, reply)
 
-    def _ran(self, flight: Flight, reply: ForwardReply) -> None:
+    def _ran(self, flight: RunningRequest, reply: ForwardReply) -> None:
         error = reply_error(reply)
         run_state = (
             ERROR_RESPONSES[error.kind].run_state if error else RunState.RAN
         )
-        flight.attempt, step = run_ended(flight.attempt, run_state)
+        flight.attempt, step = on_run_ended(flight.attempt, run_state)
         if step is ClaimAttemptStep.RELEASE:
             del self.flights[flight.keyed.key]
             self._release(flight.attempt)
         if step is ClaimAttemptStep.COMPLETE:
             self._complete(flight.attempt, reply)
-        flight.end(reply)
+        flight.finish(reply)
 
     def _release(self, attempt: ClaimAttempt) -> None:
         self.releasing.add(attempt.claim_id)
@@ -368,7 +368,7 @@
         )
         self.out.add(record)
 
-    def _forget_body(self, flight: Flight) -> None:
+    def _forget_body(self, flight: RunningRequest) -> None:
         # A claim that was given up is waited for without its request: bodies
         # of megabytes would pile up while the log is down.
         request = attrs.evolve(flight.keyed.request, body=b"", headers=())
@@ -388,31 +388,31 @@
         if flight is not None:
             self._give_up(flight)
 
-    def history_lost(self) -> None:
+    def on_history_lost(self) -> None:
         """Lets no pending claim run."""
         for flight in self.pending.values():
             self._give_up(flight)
 
-    def seen(self, event: ClaimSeen) -> None:
+    def on_claim_seen(self, event: ClaimSeen) -> None:
         """Takes a claim that was read."""
         if event.claim_id.writer != self.writer:
             return
         flight = self.pending.pop(event.claim_id.number, None)
         if flight is None:
             return
-        flight.attempt, step = claim_seen(
+        flight.attempt, step = on_claim_seen(
             flight.attempt, event.won, self.clock.now_ms()
         )
         if step in (ClaimAttemptStep.RELEASE, ClaimAttemptStep.EXPIRED):
             self._release(flight.attempt)
         flight.decide(step)
 
-    def ended(self, event: ClaimEnded) -> None:
+    def on_claim_ended(self, event: ClaimEnded) -> None:
         """Keeps the answer of a claim that has ended."""
         if event.response and self.responses.get(event.key) is None:
             self.responses.put(event.key, event.response)
 
-    def written(self, batch: ClaimBatch) -> None:
+    def on_batch_written(self, batch: ClaimBatch) -> None:
         """Forgets what has been written for good."""
         if batch.writer != self.writer:
             return
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_writer.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_writer.py
@@ -22,7 +22,7 @@
 
 _MS_PER_S = 1000
 
-Item = ClaimEntry | ClaimRelease | ClaimCompletion
+BatchItem = ClaimEntry | ClaimRelease | ClaimCompletion
 
 
 @attrs.define(eq=False)
@@ -47,7 +47,7 @@
     clock: Clock
     window_ms: int
     table: ClaimTable
-    batcher: ClaimBatcher[Item]
+    batcher: ClaimBatcher[BatchItem]
     on_refused: Callable[[ClaimEntry], None]
     work: asyncio.Event = attrs.field(factory=asyncio.Event)
 
@@ -55,7 +55,7 @@
     def idle(self) -> bool:
         """Whether nothing waits to be appended."""
         batcher = self.batcher
-        return not (batcher.urgent or batcher.lazy or batcher.appending)
+        return not (batcher.urgent or batcher.deferred or batcher.appending)
 
     def claim(self, entry: ClaimEntry, patience_ms: int) -> None:
         """Adds a claim.
@@ -76,7 +76,7 @@
 
     def add(self, item: ClaimRelease | ClaimCompletion) -> None:
         """Adds what may wait for the next batch."""
-        self.batcher.offer_lazily(item, self.clock.now_ms())
+        self.batcher.defer(item, self.clock.now_ms())
         self.work.set()
 
     async def run(self) -> None:
@@ -91,20 +91,20 @@
 
     async def _append(self) -> None:
         began_ms = self.clock.now_ms()
-        items = self.batcher.take(began_ms)
+        items = self.batcher.next_batch(began_ms)
         batch = self._batch(items)
         try:
             await self.log.append(self.stream, encode(batch))
         except LogError as error:
             self._append_failed(items, error)
             return
-        self.batcher.appended(began_ms, self.clock.now_ms())
+        self.batcher.on_appended(began_ms, self.clock.now_ms())
 
-    def _batch(self, items: list[Item]) -> ClaimBatch:
+    def _batch(self, items: list[BatchItem]) -> ClaimBatch:
         return ClaimBatch(
             writer=self.writer,
-            at_ms=max(self.clock.wall_ms(), self.table.stream_ms),
-            previous_at_ms=self.table.stream_ms,
+            at_ms=max(self.clock.wall_ms(), self.table.stream_time_ms),
+            previous_at_ms=self.table.stream_time_ms,
             seen_offset=self.table.next_offset,
             window_ms=self.window_ms,
             releases=tuple(i for i in items if isinstance(i, ClaimRelease)),
@@ -114,7 +114,7 @@
             claims=tuple(i for i in items if isinstance(i, ClaimEntry)),
         )
 
-    def _append_failed(self, items: list[Item], error: LogError) -> None:
+    def _append_failed(self, items: list[BatchItem], error: LogError) -> None:
         _logger.warning(
             "claims.append_failed",
             extra={"stream": self.stream, "error": str(error)},
@@ -123,7 +123,7 @@
         # effect, and a second one of the same claim after its release would
         # hold the key for good. Releases and completions may be repeated.
         again = [i for i in items if not isinstance(i, ClaimEntry)]
-        refused = self.batcher.failed(self.clock.now_ms(), again)
+        refused = self.batcher.on_append_failed(self.clock.now_ms(), again)
         if error.kind is LogErrorKind.REJECTED:
             refused += [i for i in items if isinstance(i, ClaimEntry)]
         for item in refused:
--- a/packages/pomelobank-node/src/pomelobank_node/_dispatcher.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_dispatcher.py
@@ -6,7 +6,7 @@
 import attrs
 
 from pomelobank_core import (
-    CallerPatience,
+    CallerTimeouts,
     Clock,
     ErrorKind,
     LastRequests,
@@ -95,7 +95,7 @@
         last_requests: Tells which requests a stopping node still takes.
         claims: Runs requests with an idempotency key, None where keys are left
             to the targets.
-        patience: Tells what callers have used on earlier attempts.
+        caller_timeouts: Tells what callers have used on earlier attempts.
     """
 
     store: RoutesInForce
@@ -104,7 +104,7 @@
     exact_weights: bool = False
     last_requests: LastRequests = attrs.field(factory=LastRequests)
     claims: "ClaimService | None" = None
-    patience: CallerPatience = attrs.field(factory=CallerPatience)
+    caller_timeouts: CallerTimeouts = attrs.field(factory=CallerTimeouts)
 
     async def dispatch(self, caller: CallerRequest) -> ForwardReply:
         """Answers one request.
@@ -184,7 +184,9 @@
         spent_ms = 0
         if caller.timeout_ms:
             remaining_ms = min(remaining_ms, caller.timeout_ms)
-            spent_ms = self.patience.spent_ms(route.name, caller.timeout_ms)
+            spent_ms = self.caller_timeouts.elapsed_ms(
+                route.name, caller.timeout_ms
+            )
         return ForwardRequest(
             trace_id=caller.trace_id,
             sent_ms=self.clock.now_ms(),
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -47,7 +47,7 @@
 )
 from pomelobank_node._late_binding import (
     LateBinding,
-    late_targets,
+    late_binding_target_count,
     may_bind_late,
 )
 from pomelobank_node._owner import Owner
@@ -182,7 +182,7 @@
 
     def _offers(self, journey: Journey) -> int:
         targets = self.index.of(journey.request.upstream).targets
-        if not self.retries.free_rejections or journey.runs_alone:
+        if not self.retries.free_rejections or journey.runs_isolated:
             return 0
         if len(targets) < OFFERS:
             return 0
@@ -220,8 +220,8 @@
         candidates = self.index.of(request.upstream)
         now_ms = self.clock.now_ms()
         standing = self.owner.reports.check(request)
-        journey.runs_alone = standing is Standing.SUSPECT
-        if journey.runs_alone:
+        journey.runs_isolated = standing is Standing.SUSPECT
+        if journey.runs_isolated:
             # Every node sends it to the same target, so that it runs once at
             # a time and a crash takes that one target only.
             print_ = request_fingerprint(request)
@@ -234,7 +234,7 @@
         candidates = self.index.of(journey.request.upstream)
         targets = self.load_balancer.pick_several(
             candidates,
-            late_targets(candidates),
+            late_binding_target_count(candidates),
             self.clock.now_ms(),
         )
         if not targets:
@@ -248,7 +248,7 @@
         try:
             return await binding.reply()
         finally:
-            binding.end()
+            binding.cancel()
 
     async def _hedged(
         self, journey: Journey, first: Coroutine[None, None, ForwardReply]
--- a/packages/pomelobank-node/src/pomelobank_node/_gate.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_gate.py
@@ -91,13 +91,13 @@
         """Requests that wait or run."""
         return self.admission.in_flight + self.admission.waiting
 
-    def usual_ms_of(self, route: str) -> float:
+    def expected_service_ms(self, route: str) -> float:
         """Returns the time that a route's requests usually take there."""
-        return self.admission.usual_ms_of(route, self.clock.now_ms())
+        return self.admission.expected_service_ms(route, self.clock.now_ms())
 
-    def longest_usual_ms(self) -> float:
+    def max_expected_service_ms(self) -> float:
         """Returns the slowest route's usual time at the target in ms."""
-        return self.admission.longest_usual_ms(self.clock.now_ms())
+        return self.admission.max_expected_service_ms(self.clock.now_ms())
 
     async def enter(self, ticket: Ticket) -> None:
         """Returns once the request may go to the target.
--- a/packages/pomelobank-node/src/pomelobank_node/_journey.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_journey.py
@@ -44,7 +44,7 @@
         may_have_run: Reply of the last try that may have run, if any.
         offers: How many targets may still decline it.
         declined: Targets that declined it, each with its expected wait.
-        runs_alone: Whether it is suspected to crash targets.
+        runs_isolated: Whether it is suspected to crash targets.
     """
 
     request: ForwardRequest
@@ -56,7 +56,7 @@
     may_have_run: ForwardReply | None = None
     offers: int = 0
     declined: dict[MemberEntry, int] = attrs.field(factory=dict)
-    runs_alone: bool = False
+    runs_isolated: bool = False
 
     @property
     def offer_wait_ms(self) -> int:
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_flight.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_keyed_requests.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define(eq=False)
-class Flight:
+class RunningRequest:
     """One attempt and everybody who waits for it.
 
     Attributes:
@@ -55,7 +55,7 @@
         if not self.step.done():
             self.step.set_result(step)
 
-    def end(self, reply: ForwardReply | None) -> None:
+    def finish(self, reply: ForwardReply | None) -> None:
         """Sets how it ended, once."""
         if not self.reply.done():
             self.reply.set_result(reply)
--- a/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
@@ -12,17 +12,17 @@
 # Slots in front of which a request waits at the same time. Each further target
 # shortens the wait by less and costs the same frames; targets with half as many
 # slots of their own free one soon enough.
-LATE_SLOTS = 15
+LATE_BINDING_SLOTS = 15
 _SEVERAL = 2
 
 
-def late_targets(candidates: Candidates) -> int:
+def late_binding_target_count(candidates: Candidates) -> int:
     """Returns at how many of an upstream's targets a request waits.
 
     Args:
         candidates: The upstream's targets.
     """
-    return LATE_SLOTS // max(1, candidates.max_slots)
+    return LATE_BINDING_SLOTS // max(1, candidates.max_slots)
 
 
 def may_bind_late(journey: Journey, candidates: Candidates) -> bool:
@@ -36,10 +36,10 @@
         journey: The request and where it has been.
         candidates: Its upstream's targets.
     """
-    if late_targets(candidates) < _SEVERAL:
+    if late_binding_target_count(candidates) < _SEVERAL:
         return False
     request = journey.request
-    if journey.runs_alone or not request.idempotent:
+    if journey.runs_isolated or not request.idempotent:
         return False
     return not (request.body or rest_of(request) or request.spent_ms)
 
@@ -89,7 +89,7 @@
                 refusals.append(reply)
         return min(refusals, key=_preference)
 
-    def end(self) -> None:
+    def cancel(self) -> None:
         """Withdraws the request from every target."""
         for task in self.attempts.values():
             task.cancel()
--- a/packages/pomelobank-node/src/pomelobank_node/_latency_counts.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_latency_histogram.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define
-class LatencyCounts:
+class LatencyHistogram:
     """How many times fell into each bucket.
 
     Adding costs one search and one addition; the library that serves the
--- a/packages/pomelobank-node/src/pomelobank_node/_owner.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_owner.py
@@ -136,7 +136,7 @@
         self.pool = UpstreamPool(
             host, port, self.settings.max_body_bytes, self.dialect.open_ends
         )
-        self.gate.admission.limit.restart()
+        self.gate.admission.limit.reset()
 
     async def serve(
         self, request: ForwardRequest, offer_slot: SlotOfferer | None = None
@@ -179,7 +179,7 @@
                 "at_target": admission.in_flight,
                 "waiting": admission.waiting,
                 "slots": admission.limit.current,
-                "usual_ms": round(self.gate.usual_ms_of(request.route)),
+                "usual_ms": round(self.gate.expected_service_ms(request.route)),
                 "instance": self.target.instance if self.target else "",
                 "lines_dropped": self.lines.take_dropped(),
             },
@@ -204,9 +204,9 @@
             _traffic_class(request),
             request.route,
             deadline_ms=now_ms + request.remaining_ms,
-            alone=standing is Standing.SUSPECT,
+            isolated=standing is Standing.SUSPECT,
             priority=request.priority,
-            aim_at_ms=now_ms + (request.aim_ms or request.remaining_ms),
+            objective_at_ms=now_ms + (request.aim_ms or request.remaining_ms),
             max_wait_ms=request.max_wait_ms or math.inf,
         )
         await self.gate.enter(ticket)
@@ -267,7 +267,7 @@
             return False
         assert ticket.started_ms is not None
         took_ms = self.clock.now_ms() - ticket.started_ms
-        usual_ms = self.gate.usual_ms_of(ticket.route)
+        usual_ms = self.gate.expected_service_ms(ticket.route)
         return took_ms <= max(_QUICK_MS, usual_ms / 2)
 
     def reject_new_requests(self) -> None:
--- a/packages/pomelobank-node/src/pomelobank_node/_stop_turn.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_stop_turn.py
@@ -41,7 +41,7 @@
         """
         table = self.membership.table
         order = StopOrder(table.own.node, table.own.data_centre)
-        reserve_ms = WORK_RESERVE_FACTOR * self.gate.longest_usual_ms()
+        reserve_ms = WORK_RESERVE_FACTOR * self.gate.max_expected_service_ms()
         latest_close_ms = end_ms - news_ms - reserve_ms
         if self.clock.now_ms() + PEER_UPDATE_MS >= latest_close_ms:
             return
--- a/packages/pomelobank-node/src/pomelobank_node/_target_call.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_call.py
@@ -76,9 +76,7 @@
         rest,
         chunked=more and content_length(headers) is None,
         expected_id=expected,
-        longest_idle_s=(
-            LONGEST_IDLE_S if request.idempotent else RUNS_ONCE_IDLE_S
-        ),
+        max_idle_s=(LONGEST_IDLE_S if request.idempotent else RUNS_ONCE_IDLE_S),
     )
     _check(answer, dialect)
     return _reply(request, answer, outstanding)
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
@@ -72,7 +72,7 @@
         rest: BodySource | None = None,
         chunked: bool = False,
         expected_id: ExpectedId | None = None,
-        longest_idle_s: float = LONGEST_IDLE_S,
+        max_idle_s: float = LONGEST_IDLE_S,
     ) -> UpstreamResponse:
         """Sends one request and waits for its answer.
 
@@ -83,7 +83,7 @@
             rest: The rest of the body.
             chunked: Whether the rest is sent in HTTP's chunks.
             expected_id: Id that the answer must bear where it bears one.
-            longest_idle_s: Longest time for which a connection that is used
+            max_idle_s: Longest time for which a connection that is used
                 again was idle.
 
         Returns:
@@ -93,7 +93,7 @@
             RequestError: UPSTREAM_UNREACHABLE or DEADLINE_NOT_RUN before any
                 byte was sent; any other kind after.
         """
-        connection = await self._take(deadline_s, longest_idle_s)
+        connection = await self._take(deadline_s, max_idle_s)
         # A process that was paused finds its deadline passed only now.
         if deadline_s is not None and self.loop.time() >= deadline_s:
             self.give_back(connection)
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
@@ -17,7 +17,7 @@
     NO_BODY_STATUSES,
     end_to_end,
 )
-from pomelobank_node._latency_counts import LatencyCounts
+from pomelobank_node._latency_histogram import LatencyHistogram
 from pomelobank_node._log_budget import LogBudget
 from pomelobank_node._logging import request_id
 from pomelobank_node._requests import ForwardReply, RequestError, reply_error
@@ -89,7 +89,7 @@
     dialect: Dialect = attrs.field(factory=Dialect)
     origin: str = ""
     outcomes: Counter[str] = attrs.field(factory=Counter)
-    latency: LatencyCounts = attrs.field(factory=LatencyCounts)
+    latency: LatencyHistogram = attrs.field(factory=LatencyHistogram)
     lines: LogBudget = attrs.field(factory=LogBudget)
     draining: bool = False
 
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_gate.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_gate.py
@@ -64,7 +64,7 @@
     gate = _gate()
     await gate.enter(_ticket(gate))
     admission = gate.admission
-    admission.times.add("interactive", "r", 1.0)
+    admission.service_times.add("interactive", "r", 1.0)
     with pytest.raises(RequestError) as ended:
         await gate.enter(_ticket(gate, timeout_ms=50))
     assert ended.value.kind is ErrorKind.DEADLINE_NOT_RUN
@@ -74,7 +74,7 @@
 async def test_refused_at_once_when_it_cannot_start_in_time() -> None:
     gate = _gate()
     await gate.enter(_ticket(gate))
-    gate.admission.times.add("interactive", "r", 500.0)
+    gate.admission.service_times.add("interactive", "r", 500.0)
     with pytest.raises(RequestError) as refused:
         await gate.enter(_ticket(gate, timeout_ms=400))
     assert refused.value.kind is ErrorKind.OVERLOADED
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_late_binding.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_late_binding.py
@@ -7,7 +7,7 @@
 
 from pomelobank_core import ErrorKind
 from pomelobank_node._forwarder import Forwarder
-from pomelobank_node._late_binding import LATE_SLOTS
+from pomelobank_node._late_binding import LATE_BINDING_SLOTS
 from pomelobank_node._requests import (
     ForwardReply,
     ForwardRequest,
@@ -67,7 +67,7 @@
             return error_reply(0, RequestError(ErrorKind.OVERLOADED, 80))
         peers.waiting[self.address] = on_slot
         peers.joined.set()
-        if len(peers.waiting) == LATE_SLOTS // SLOTS:
+        if len(peers.waiting) == LATE_BINDING_SLOTS // SLOTS:
             peers.all_wait.set()
         try:
             while await peers.free.get() != self.address:
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_upstream_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_upstream_client.py
@@ -312,6 +312,6 @@
     """
     target.answers = [OK, OK]
     await pool.request(GET)
-    await pool.request(GET, longest_idle_s=longest_idle_s)
+    await pool.request(GET, max_idle_s=longest_idle_s)
     assert target.accepted == accepted
     assert len(pool.idle) == accepted
--- a/packages/pomelobank-testing/src/pomelobank_testing/_experiment.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_experiment.py
@@ -57,7 +57,7 @@
                 route.name,
                 sum(item.asked for item in found),
                 sum(item.in_aim for item in found),
-                sum(item.late for item in found),
+                sum(item.past_objective for item in found),
                 sum(item.refused for item in found),
                 sum(item.failed for item in found),
                 round(max(item.held_p95_ms for item in found)),
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_callers.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_callers.py
@@ -102,7 +102,7 @@
             if took_s * _MS_PER_S <= route.aim_ms:
                 outcome.in_aim += 1
             else:
-                outcome.late += 1
+                outcome.past_objective += 1
         elif _has_not_run(reply):
             outcome.refused += 1
         else:
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
@@ -7,7 +7,7 @@
 
 from pomelobank_core import (
     BriefWork,
-    CallerPatience,
+    CallerTimeouts,
     Candidates,
     DeadlineAdmission,
     Rank,
@@ -30,25 +30,27 @@
         name: Its name.
         forwarder: Places requests and sends them.
         owner: Runs them on its target.
-        patience: Tells what callers have used on earlier attempts.
+        caller_timeouts: Tells what callers have used on earlier attempts.
     """
 
     name: str
     forwarder: Forwarder
     owner: Owner
-    patience: CallerPatience = attrs.field(factory=CallerPatience)
+    caller_timeouts: CallerTimeouts = attrs.field(factory=CallerTimeouts)
 
 
 Switch = Callable[[ModelNode], None]
 
 
 class _NobodyOvertakes(RankLoad):
-    def rest(self, rank: Rank, slots: int, now_ms: float) -> float:
+    def available_fraction(
+        self, rank: Rank, slots: int, now_ms: float
+    ) -> float:
         return 1.0
 
 
-class _AllAreNew(CallerPatience):
-    def spent_ms(self, route: str, given_ms: int) -> int:
+class _AllAreNew(CallerTimeouts):
+    def elapsed_ms(self, route: str, given_ms: int) -> int:
         return 0
 
 
@@ -58,7 +60,7 @@
             ticket for ticket in self.queue if now_ms >= self.give_up_ms(ticket)
         ]
 
-    def _surplus_late(self, now_ms: float) -> list[Ticket]:
+    def _excess_past_objective(self, now_ms: float) -> list[Ticket]:
         return []
 
 
@@ -95,7 +97,7 @@
 def _without_brief_first(node: ModelNode) -> None:
     admission = node.owner.gate.admission
     assert isinstance(admission, DeadlineAdmission)
-    admission.brief = _NothingIsBrief(admission.times)
+    admission.brief = _NothingIsBrief(admission.service_times)
 
 
 def _without_late_binding(node: ModelNode) -> None:
@@ -109,7 +111,7 @@
 
 
 def _without_patience(node: ModelNode) -> None:
-    node.patience = _AllAreNew()
+    node.caller_timeouts = _AllAreNew()
 
 
 def _without_held_back_bodies(node: ModelNode) -> None:
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
@@ -280,7 +280,7 @@
             max_attempts=2,
             aim_ms=route.aim_ms,
             priority=route.priority,
-            spent_ms=entry.patience.spent_ms(route.name, int(left_ms)),
+            spent_ms=entry.caller_timeouts.elapsed_ms(route.name, int(left_ms)),
         )
         if request.remaining_ms <= 0:
             return error_reply(0, RequestError(ErrorKind.DEADLINE_NOT_RUN))
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_outcomes.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_outcomes.py
@@ -19,7 +19,7 @@
     Attributes:
         asked: Callers.
         in_aim: Answered in time.
-        late: Answered later.
+        past_objective: Answered later.
         refused: Refused to the end.
         failed: Failed.
         held_ms: How long each attempt that was refused had been held.
@@ -28,7 +28,7 @@
 
     asked: int = 0
     in_aim: int = 0
-    late: int = 0
+    past_objective: int = 0
     refused: int = 0
     failed: int = 0
     held_ms: list[float] = attrs.field(factory=list)
@@ -47,7 +47,9 @@
 
     def worth(self, route: RouteLoad) -> float:
         """Returns the worth of the answers."""
-        return self.in_aim * route.worth + self.late * route.late_worth
+        return (
+            self.in_aim * route.worth + self.past_objective * route.late_worth
+        )
 
 
 @attrs.define
