--- a/packages/pomelobank-core/src/pomelobank_core/__init__.py
+++ b/packages/pomelobank-core/src/pomelobank_core/__init__.py
@@ -12,6 +12,16 @@
     from pomelobank_core._admission import (
         Admission,
     )
+    from pomelobank_core._admission_request import (
+        AdmissionDecision,
+        AdmissionRequest,
+        QueueChange,
+        Queued,
+        Rejected,
+        Started,
+        TrafficClass,
+        WorkResult,
+    )
     from pomelobank_core._brief_work import BriefWork
     from pomelobank_core._caller_timeouts import (
         CallerTimeouts,
@@ -85,9 +95,9 @@
         ExchangeState,
         ExchangeTable,
         FrameAge,
-        FrameVerdict,
-        deadline_kind,
-        lost_kind,
+        FrameDecision,
+        deadline_error_kind,
+        lost_error_kind,
     )
     from pomelobank_core._first_contact import (
         TAIL_RECORDS,
@@ -101,9 +111,6 @@
     from pomelobank_core._hedging import (
         Hedging,
     )
-    from pomelobank_core._last_requests import (
-        LastRequests,
-    )
     from pomelobank_core._load_balancer import (
         LoadBalancer,
         RequestOutcome,
@@ -129,8 +136,8 @@
         POINTS_NODE_LOST,
         POINTS_TARGET_LOST,
         Evidence,
+        QuarantineState,
         QuarantineTable,
-        Standing,
         fingerprint,
     )
     from pomelobank_core._rank_load import (
@@ -178,6 +185,9 @@
         scoped_key,
         service_of,
     )
+    from pomelobank_core._shutdown_admission import (
+        ShutdownAdmission,
+    )
     from pomelobank_core._slot_sharing import (
         AdmissionPolicy,
         FirstCome,
@@ -210,16 +220,6 @@
     from pomelobank_core._target_load import (
         Ramp,
     )
-    from pomelobank_core._tickets import (
-        Change,
-        Queued,
-        Rejected,
-        Started,
-        Ticket,
-        TrafficClass,
-        Verdict,
-        WorkResult,
-    )
     from pomelobank_core._two_choices import (
         TwoChoices,
         isolation_target,
@@ -241,13 +241,14 @@
     "WORK_RESERVE_FACTOR",
     "Action",
     "Admission",
+    "AdmissionDecision",
     "AdmissionPolicy",
+    "AdmissionRequest",
     "BriefWork",
     "Budget",
     "CallerTimeouts",
     "CandidateIndex",
     "Candidates",
-    "Change",
     "ChangeVerdict",
     "Claim",
     "ClaimAttempt",
@@ -278,10 +279,9 @@
     "FirstContact",
     "FixedPartition",
     "FrameAge",
-    "FrameVerdict",
+    "FrameDecision",
     "GuaranteedShared",
     "Hedging",
-    "LastRequests",
     "LoadBalancer",
     "ManualClock",
     "MemberState",
@@ -294,7 +294,9 @@
     "ProblemKind",
     "PullRecords",
     "PushRecords",
+    "QuarantineState",
     "QuarantineTable",
+    "QueueChange",
     "Queued",
     "Ramp",
     "Rank",
@@ -315,10 +317,10 @@
     "RunState",
     "Send",
     "SendDigest",
+    "ShutdownAdmission",
     "SlotLimit",
     "Snapshot",
     "SnapshotSchedule",
-    "Standing",
     "Started",
     "StopOrder",
     "StoredResponse",
@@ -326,11 +328,9 @@
     "TargetChange",
     "TargetLease",
     "TargetResult",
-    "Ticket",
     "TrafficClass",
     "TwoChoices",
     "Unlimited",
-    "Verdict",
     "VersionFloor",
     "VersionedObject",
     "WorkResult",
@@ -342,7 +342,7 @@
     "combine_run_states",
     "completion_record",
     "contacts_record",
-    "deadline_kind",
+    "deadline_error_kind",
     "evaluate",
     "find_neighbours",
     "fingerprint",
@@ -350,7 +350,7 @@
     "is_departure_of",
     "is_idempotent",
     "isolation_target",
-    "lost_kind",
+    "lost_error_kind",
     "object_key",
     "on_claim_seen",
     "on_run_ended",
@@ -376,6 +376,16 @@
 
 _NAMES_BY_MODULE = {
     "_admission": ("Admission",),
+    "_admission_request": (
+        "AdmissionDecision",
+        "AdmissionRequest",
+        "QueueChange",
+        "Queued",
+        "Rejected",
+        "Started",
+        "TrafficClass",
+        "WorkResult",
+    ),
     "_brief_work": ("BriefWork",),
     "_caller_timeouts": ("CallerTimeouts",),
     "_candidates": (
@@ -441,9 +451,9 @@
         "ExchangeState",
         "ExchangeTable",
         "FrameAge",
-        "FrameVerdict",
-        "deadline_kind",
-        "lost_kind",
+        "FrameDecision",
+        "deadline_error_kind",
+        "lost_error_kind",
     ),
     "_first_contact": (
         "FirstContact",
@@ -453,7 +463,6 @@
     ),
     "_floor": ("VersionFloor",),
     "_hedging": ("Hedging",),
-    "_last_requests": ("LastRequests",),
     "_load_balancer": (
         "LoadBalancer",
         "RequestOutcome",
@@ -479,8 +488,8 @@
         "Evidence",
         "POINTS_NODE_LOST",
         "POINTS_TARGET_LOST",
+        "QuarantineState",
         "QuarantineTable",
-        "Standing",
         "fingerprint",
     ),
     "_rank_load": (
@@ -526,6 +535,7 @@
         "scoped_key",
         "service_of",
     ),
+    "_shutdown_admission": ("ShutdownAdmission",),
     "_slot_sharing": (
         "AdmissionPolicy",
         "FirstCome",
@@ -557,16 +567,6 @@
         "TargetLease",
     ),
     "_target_load": ("Ramp",),
-    "_tickets": (
-        "Change",
-        "Queued",
-        "Rejected",
-        "Started",
-        "Ticket",
-        "TrafficClass",
-        "Verdict",
-        "WorkResult",
-    ),
     "_two_choices": (
         "TwoChoices",
         "isolation_target",
--- a/packages/pomelobank-core/src/pomelobank_core/_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_admission.py
@@ -6,7 +6,14 @@
 
 import attrs
 
-from pomelobank_core._base_admission import LONGEST_HOLD_MS, BaseAdmission
+from pomelobank_core._admission_request import (
+    AdmissionDecision,
+    AdmissionRequest,
+    Queued,
+    Started,
+    TrafficClass,
+)
+from pomelobank_core._base_admission import MAX_ISOLATION_HOLD_MS, BaseAdmission
 from pomelobank_core._concurrency import ConcurrencyLimit
 from pomelobank_core._errors import ErrorKind
 from pomelobank_core._latency import ServiceTimes
@@ -18,15 +25,8 @@
     GuaranteedShared,
     may_start,
     next_class,
-    queues_ahead,
-    turnover,
-)
-from pomelobank_core._tickets import (
-    Queued,
-    Started,
-    Ticket,
-    TrafficClass,
-    Verdict,
+    queued_ahead,
+    usable_busy_slots,
 )
 
 # A class that has not asked for this long lends its guaranteed part, so that a
@@ -43,7 +43,7 @@
     return dict.fromkeys(TrafficClass, 0)
 
 
-def _queues() -> dict[TrafficClass, deque[Ticket]]:
+def _queues() -> dict[TrafficClass, deque[AdmissionRequest]]:
     return {traffic_class: deque() for traffic_class in TrafficClass}
 
 
@@ -74,7 +74,9 @@
     seeded: random.Random = attrs.field(factory=random.Random)
     service_times: ServiceTimes = attrs.field(factory=ServiceTimes)
     running: dict[TrafficClass, int] = attrs.field(factory=_per_class)
-    queues: dict[TrafficClass, deque[Ticket]] = attrs.field(factory=_queues)
+    queues: dict[TrafficClass, deque[AdmissionRequest]] = attrs.field(
+        factory=_queues
+    )
     seen_ms: dict[TrafficClass, float] = attrs.field(factory=dict)
 
     @property
@@ -87,7 +89,9 @@
         """Requests in the queue, without one that waits to run alone."""
         return sum(len(queue) for queue in self.queues.values())
 
-    def offer(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def offer(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         """Decides about a request that has just come.
 
         Args:
@@ -108,21 +112,25 @@
         """Returns the usual request time of the slowest route in ms."""
         return self.service_times.max_ms()
 
-    def give_up_ms(self, ticket: Ticket) -> float:
+    def wait_deadline_ms(self, ticket: AdmissionRequest) -> float:
         """Returns until when a request may wait: to its deadline."""
         return ticket.deadline_ms
 
-    def waiting_tickets(self) -> list[Ticket]:
+    def queued_requests(self) -> list[AdmissionRequest]:
         """Returns the waiting requests, class by class."""
         return [ticket for queue in self.queues.values() for ticket in queue]
 
-    def _offer_shared(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _offer_shared(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         if self._starts_at_once(ticket, now_ms):
             self._start(ticket, now_ms)
             return Started()
         return self._offer_wait(ticket, now_ms)
 
-    def _offer_wait(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _offer_wait(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         # Refusing at once leaves the caller time to go elsewhere; a request
         # that waits and then misses its deadline has cost a place for nothing.
         wait_ms = self._wait_ms(ticket.traffic_class, now_ms)
@@ -137,7 +145,9 @@
         self.queues[ticket.traffic_class].append(ticket)
         return Queued()
 
-    def _offer_isolated(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _offer_isolated(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         # One at a time: several would empty the target for each in turn and
         # take it from the requests that are no danger.
         if self.isolated_request is not None:
@@ -145,7 +155,7 @@
         # Everything else is held until the target is empty. Behind long work
         # that would idle it for seconds; the suspect comes back later.
         empty_ms = self._empty_ms()
-        room_ms = min(ticket.deadline_ms - now_ms, LONGEST_HOLD_MS)
+        room_ms = min(ticket.deadline_ms - now_ms, MAX_ISOLATION_HOLD_MS)
         if empty_ms > room_ms:
             return self._reject(ErrorKind.OVERLOADED, empty_ms)
         return self._start_isolated(ticket, now_ms)
@@ -154,34 +164,34 @@
         busy = [item for item, slots in self.running.items() if slots]
         return max(map(self._usual_ms, busy), default=0.0)
 
-    def _starts_at_once(self, ticket: Ticket, now_ms: float) -> bool:
+    def _starts_at_once(self, ticket: AdmissionRequest, now_ms: float) -> bool:
         if self.isolated_request is not None:
             return False
         if not may_start(self.policy, self, ticket.traffic_class, now_ms):
             return False
-        return not queues_ahead(self.policy, self, ticket.traffic_class)
+        return not queued_ahead(self.policy, self, ticket.traffic_class)
 
-    def _occupy(self, ticket: Ticket) -> None:
+    def _acquire(self, ticket: AdmissionRequest) -> None:
         self.running[ticket.traffic_class] += 1
 
-    def _vacate(self, ticket: Ticket) -> None:
+    def _release(self, ticket: AdmissionRequest) -> None:
         self.running[ticket.traffic_class] -= 1
 
-    def _unqueue(self, ticket: Ticket) -> None:
+    def _remove_queued(self, ticket: AdmissionRequest) -> None:
         queue = self.queues[ticket.traffic_class]
         if ticket in queue:
             queue.remove(ticket)
 
-    def _start_queued(self, now_ms: float) -> Iterator[Ticket]:
+    def _start_queued(self, now_ms: float) -> Iterator[AdmissionRequest]:
         while (chosen := next_class(self.policy, self, now_ms)) is not None:
             ticket = self.queues[chosen].popleft()
             self._start(ticket, now_ms)
             yield ticket
 
-    def _drop_queued(self, now_ms: float) -> list[Ticket]:
+    def _drop_queued(self, now_ms: float) -> list[AdmissionRequest]:
         passed = [
             ticket
-            for ticket in self.waiting_tickets()
+            for ticket in self.queued_requests()
             if ticket.deadline_ms <= now_ms
         ]
         for ticket in passed:
@@ -189,10 +199,10 @@
         return passed
 
     def _wait_ms(self, traffic_class: TrafficClass, now_ms: float) -> float:
-        ahead = queues_ahead(self.policy, self, traffic_class) + 1
+        ahead = queued_ahead(self.policy, self, traffic_class) + 1
         rate = sum(
             slots / max(self._usual_ms(other), 1.0)
-            for other, slots in turnover(
+            for other, slots in usable_busy_slots(
                 self.policy, self, traffic_class, now_ms
             ).items()
         )
@@ -203,8 +213,8 @@
     def _usual_ms(self, traffic_class: TrafficClass) -> float:
         return self.service_times.of_class(traffic_class.value) or UNMEASURED_MS
 
-    def _learn_time(
-        self, ticket: Ticket, took_ms: float, now_ms: float
+    def _add_service_time(
+        self, ticket: AdmissionRequest, took_ms: float, now_ms: float
     ) -> None:
         self.service_times.add(
             ticket.traffic_class.value, ticket.route, took_ms
@@ -214,7 +224,7 @@
         """Returns the slots kept free for a class just now."""
         if not isinstance(self.policy, GuaranteedShared):
             return 0
-        part = self.policy.part(traffic_class, self.limit.current)
+        part = self.policy.slots_for(traffic_class, self.limit.current)
         seen_ms = self.seen_ms.get(traffic_class)
         if seen_ms is not None and now_ms - seen_ms < RESERVE_MS:
             return part
--- a/packages/pomelobank-core/src/pomelobank_core/_tickets.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_admission_request.py
@@ -23,7 +23,7 @@
 
 
 @attrs.define(eq=False)
-class Ticket:
+class AdmissionRequest:
     """A request at the door of a target.
 
     Attributes:
@@ -76,11 +76,11 @@
     retry_after_ms: int
 
 
-Verdict = Started | Queued | Rejected
+AdmissionDecision = Started | Queued | Rejected
 
 
 @attrs.frozen
-class Change:
+class QueueChange:
     """What an event did to requests that were waiting.
 
     Attributes:
@@ -88,8 +88,8 @@
         expired: Those whose deadline passed; they have not run.
     """
 
-    started: tuple[Ticket, ...] = ()
-    expired: tuple[Ticket, ...] = ()
+    started: tuple[AdmissionRequest, ...] = ()
+    expired: tuple[AdmissionRequest, ...] = ()
 
 
 class WorkResult(enum.Enum):
--- a/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
@@ -6,21 +6,21 @@
 
 import attrs
 
-from pomelobank_core._concurrency import ConcurrencyLimit, SlotLimit
-from pomelobank_core._errors import ErrorKind
-from pomelobank_core._rejections import MIN_RETRY_AFTER_MS, rejection
-from pomelobank_core._tickets import (
-    Change,
+from pomelobank_core._admission_request import (
+    AdmissionDecision,
+    AdmissionRequest,
+    QueueChange,
     Queued,
     Rejected,
     Started,
-    Ticket,
-    Verdict,
     WorkResult,
 )
+from pomelobank_core._concurrency import ConcurrencyLimit, SlotLimit
+from pomelobank_core._errors import ErrorKind
+from pomelobank_core._rejections import MIN_RETRY_AFTER_MS, rejection
 
 # Longest planned hold of all other requests for one that has to run alone.
-LONGEST_HOLD_MS = 500.0
+MAX_ISOLATION_HOLD_MS = 500.0
 
 
 @attrs.define(kw_only=True)
@@ -37,7 +37,7 @@
         expired: Requests that were dropped unrun.
     """
 
-    isolated_request: Ticket | None = None
+    isolated_request: AdmissionRequest | None = None
     rejected: int = 0
     declined: int = 0
     expired: int = 0
@@ -73,40 +73,44 @@
         """Returns the usual request time of the slowest route in ms."""
 
     @abc.abstractmethod
-    def give_up_ms(self, ticket: Ticket) -> float:
+    def wait_deadline_ms(self, ticket: AdmissionRequest) -> float:
         """Returns until when a request may wait."""
 
     @abc.abstractmethod
-    def _offer_shared(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _offer_shared(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         """Decides about a request that may run beside others."""
 
     @abc.abstractmethod
-    def _offer_isolated(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _offer_isolated(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         """Decides about a request that has to run alone."""
 
     @abc.abstractmethod
-    def _occupy(self, ticket: Ticket) -> None:
+    def _acquire(self, ticket: AdmissionRequest) -> None:
         """Counts a request that starts."""
 
     @abc.abstractmethod
-    def _vacate(self, ticket: Ticket) -> None:
+    def _release(self, ticket: AdmissionRequest) -> None:
         """Counts a request that has ended."""
 
     @abc.abstractmethod
-    def _unqueue(self, ticket: Ticket) -> None:
+    def _remove_queued(self, ticket: AdmissionRequest) -> None:
         """Takes a request out of the queue, if it is there."""
 
     @abc.abstractmethod
-    def _drop_queued(self, now_ms: float) -> list[Ticket]:
+    def _drop_queued(self, now_ms: float) -> list[AdmissionRequest]:
         """Takes what waits in vain out of the queue and returns it."""
 
     @abc.abstractmethod
-    def _start_queued(self, now_ms: float) -> Iterable[Ticket]:
+    def _start_queued(self, now_ms: float) -> Iterable[AdmissionRequest]:
         """Starts what there is room for and returns it."""
 
     @abc.abstractmethod
-    def _learn_time(
-        self, ticket: Ticket, took_ms: float, now_ms: float
+    def _add_service_time(
+        self, ticket: AdmissionRequest, took_ms: float, now_ms: float
     ) -> None:
         """Takes the time of a request that was answered."""
 
@@ -117,7 +121,9 @@
         """Requests in the queue."""
         return self.queued + self._alone_waits()
 
-    def offer(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def offer(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         """Decides about a request that has just come.
 
         Args:
@@ -135,8 +141,8 @@
         return self._offer_shared(ticket, now_ms)
 
     def finish(
-        self, ticket: Ticket, result: WorkResult, now_ms: float
-    ) -> Change:
+        self, ticket: AdmissionRequest, result: WorkResult, now_ms: float
+    ) -> QueueChange:
         """Takes the end of a request's time at the target.
 
         Args:
@@ -150,19 +156,19 @@
         assert ticket.started_ms is not None
         took_ms = now_ms - ticket.started_ms
         busy = self.in_flight
-        self._vacate(ticket)
+        self._release(ticket)
         if self.isolated_request is ticket:
             self.isolated_request = None
         if result is WorkResult.RESPONDED:
-            self._learn_time(ticket, took_ms, now_ms)
+            self._add_service_time(ticket, took_ms, now_ms)
             self.limit.on_response(ticket.route, took_ms, busy)
         elif result is WorkResult.SHED:
-            self.limit.shed()
+            self.limit.on_shed()
         elif result is WorkResult.LOST:
             self.limit.reset()
         return self.start_waiting(now_ms)
 
-    def leave(self, ticket: Ticket, now_ms: float) -> Change:
+    def cancel(self, ticket: AdmissionRequest, now_ms: float) -> QueueChange:
         """Takes a waiting request out: its caller went away.
 
         Args:
@@ -172,27 +178,27 @@
         Returns:
             The requests that this let start.
         """
-        self._unqueue(ticket)
+        self._remove_queued(ticket)
         if self.isolated_request is ticket and ticket.started_ms is None:
             self.isolated_request = None
         return self.start_waiting(now_ms)
 
-    def set_slots(self, slots: int, now_ms: float) -> Change:
+    def set_slots(self, slots: int, now_ms: float) -> QueueChange:
         """Takes a new number of slots; returns what this let start."""
         self.limit.set_slots(slots)
         return self.start_waiting(now_ms)
 
-    def start_waiting(self, now_ms: float) -> Change:
+    def start_waiting(self, now_ms: float) -> QueueChange:
         """Drops what waits in vain and starts what there is room for."""
         dropped = self._drop(now_ms)
         if self.isolated_request is None:
-            return Change(tuple(self._start_queued(now_ms)), dropped)
+            return QueueChange(tuple(self._start_queued(now_ms)), dropped)
         if self._alone_waits() and not self.in_flight:
             self._start(self.isolated_request, now_ms)
-            return Change((self.isolated_request,), dropped)
-        return Change((), dropped)
+            return QueueChange((self.isolated_request,), dropped)
+        return QueueChange((), dropped)
 
-    def _drop(self, now_ms: float) -> tuple[Ticket, ...]:
+    def _drop(self, now_ms: float) -> tuple[AdmissionRequest, ...]:
         dropped = self._drop_queued(now_ms)
         alone = self.isolated_request
         if alone and self._alone_waits() and alone.deadline_ms <= now_ms:
@@ -207,7 +213,9 @@
             and self.isolated_request.started_ms is None
         )
 
-    def _start_isolated(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _start_isolated(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         """Lets nothing start until a request has run alone."""
         self.isolated_request = ticket
         if self.in_flight:
@@ -215,9 +223,9 @@
         self._start(ticket, now_ms)
         return Started()
 
-    def _start(self, ticket: Ticket, now_ms: float) -> None:
+    def _start(self, ticket: AdmissionRequest, now_ms: float) -> None:
         ticket.started_ms = now_ms
-        self._occupy(ticket)
+        self._acquire(ticket)
 
     def _reject(self, kind: ErrorKind, wait_ms: float) -> Rejected:
         self.rejected += 1
--- a/packages/pomelobank-core/src/pomelobank_core/_brief_work.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_brief_work.py
@@ -25,13 +25,13 @@
 
     Attributes:
         service_times: Measured service times.
-        taken: Slot time that brief requests were given lately.
+        recent_slot_time: Slot time that brief requests were given lately.
     """
 
     service_times: RouteTimes
-    taken: DecayingSum = attrs.field(factory=DecayingSum)
+    recent_slot_time: DecayingSum = attrs.field(factory=DecayingSum)
 
-    def includes(self, route: str, slots: int, now_ms: float) -> bool:
+    def is_brief(self, route: str, slots: int, now_ms: float) -> bool:
         """Tells whether a request of a route is brief now.
 
         Args:
@@ -50,8 +50,13 @@
             and self.service_times.expected_ms(route, now_ms) > longest_ms
         ):
             return False
-        return self.taken.at(now_ms) <= BRIEF_SHARE * slots * DECAY_TIME_MS
+        return (
+            self.recent_slot_time.at(now_ms)
+            <= BRIEF_SHARE * slots * DECAY_TIME_MS
+        )
 
-    def started(self, route: str, now_ms: float) -> None:
+    def on_start(self, route: str, now_ms: float) -> None:
         """Takes the start of a brief request."""
-        self.taken.add(self.service_times.expected_ms(route, now_ms), now_ms)
+        self.recent_slot_time.add(
+            self.service_times.expected_ms(route, now_ms), now_ms
+        )
--- a/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
@@ -100,7 +100,7 @@
         elif slowness < NORMAL_RATIO and busy >= self.current:
             self._try_step_up()
 
-    def shed(self) -> None:
+    def on_shed(self) -> None:
         """Takes an answer by which the target turned the request away."""
         self.answers += 1
         self.cold = False
@@ -171,7 +171,7 @@
     def on_response(self, route: str, took_ms: float, busy: int) -> None:
         """Takes an answer; it changes nothing."""
 
-    def shed(self) -> None:
+    def on_shed(self) -> None:
         """Takes a request that was turned away; it changes nothing."""
 
     def reset(self) -> None:
--- a/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
@@ -6,19 +6,19 @@
 
 import attrs
 
-from pomelobank_core._base_admission import LONGEST_HOLD_MS, BaseAdmission
+from pomelobank_core._admission_request import (
+    AdmissionDecision,
+    AdmissionRequest,
+    Queued,
+    Rejected,
+    Started,
+)
+from pomelobank_core._base_admission import MAX_ISOLATION_HOLD_MS, BaseAdmission
 from pomelobank_core._brief_work import BriefWork
 from pomelobank_core._concurrency import ConcurrencyLimit, SlotLimit
 from pomelobank_core._errors import ErrorKind
 from pomelobank_core._rank_load import Rank, RankLoad
 from pomelobank_core._route_times import RouteTimes
-from pomelobank_core._tickets import (
-    Queued,
-    Rejected,
-    Started,
-    Ticket,
-    Verdict,
-)
 
 # A running request that has taken its usual time already still takes a part of
 # it, on average, because some requests take several times as long.
@@ -62,21 +62,21 @@
         limit: Requests tried at once.
         seeded: Source of randomness.
         service_times: Measured service times.
-        taken: Slot time that each rank was given lately.
+        rank_load: Slot time that each rank was given lately.
         running: Requests at the target.
         queue: Waiting requests.
-        brief: Tells which requests are short next to the others.
+        brief_work: Tells which requests are short next to the others.
     """
 
     limit: ConcurrencyLimit | SlotLimit
     seeded: random.Random = attrs.field(factory=random.Random)
     service_times: RouteTimes = attrs.field(factory=RouteTimes)
-    taken: RankLoad = attrs.field(factory=RankLoad)
-    running: set[Ticket] = attrs.field(factory=set)
-    queue: list[Ticket] = attrs.field(factory=list)
-    brief: BriefWork = attrs.field(init=False)
+    rank_load: RankLoad = attrs.field(factory=RankLoad)
+    running: set[AdmissionRequest] = attrs.field(factory=set)
+    queue: list[AdmissionRequest] = attrs.field(factory=list)
+    brief_work: BriefWork = attrs.field(init=False)
 
-    @brief.default
+    @brief_work.default
     def _new_brief(self) -> BriefWork:
         return BriefWork(self.service_times)
 
@@ -90,9 +90,11 @@
         """Requests in the queue, without one that waits to run alone."""
         return len(self.queue)
 
-    def _offer_shared(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _offer_shared(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         slots = self.limit.current
-        ticket.brief = self.brief.includes(ticket.route, slots, now_ms)
+        ticket.brief = self.brief_work.is_brief(ticket.route, slots, now_ms)
         if (
             self.isolated_request is None
             and self._has_slot()
@@ -124,26 +126,26 @@
         self.queue.append(ticket)
         return Queued()
 
-    def _take_in(self, ticket: Ticket, now_ms: float) -> None:
+    def _take_in(self, ticket: AdmissionRequest, now_ms: float) -> None:
         rank = self._shared_rank(ticket, now_ms)
-        self.taken.add(rank, self.expected_ms(ticket, now_ms), now_ms)
+        self.rank_load.add(rank, self.expected_ms(ticket, now_ms), now_ms)
 
-    def _shared_rank(self, ticket: Ticket, now_ms: float) -> Rank:
+    def _shared_rank(self, ticket: AdmissionRequest, now_ms: float) -> Rank:
         return Rank(ticket.priority, self._is_late(ticket, now_ms))
 
     def _can_be_in_time(
-        self, ticket: Ticket, wait_ms: float, now_ms: float
+        self, ticket: AdmissionRequest, wait_ms: float, now_ms: float
     ) -> bool:
         needed_ms = wait_ms + SAFE_PART * self.expected_ms(ticket, now_ms)
         return now_ms + needed_ms <= ticket.objective_at_ms
 
     def _would_give_up(
-        self, ticket: Ticket, wait_ms: float, now_ms: float
+        self, ticket: AdmissionRequest, wait_ms: float, now_ms: float
     ) -> bool:
-        return now_ms + wait_ms >= self.give_up_ms(ticket)
+        return now_ms + wait_ms >= self.wait_deadline_ms(ticket)
 
     def _may_wait_late(
-        self, ticket: Ticket, wait_ms: float, now_ms: float
+        self, ticket: AdmissionRequest, wait_ms: float, now_ms: float
     ) -> bool:
         # Under a lasting overload only what is in time gets slots, and a long
         # queue behind that would wait for its deadlines.
@@ -154,13 +156,13 @@
         room_ms = ticket.deadline_ms - now_ms - self.expected_ms(ticket, now_ms)
         return late < self._may_be_late() and wait_ms <= WAIT_PART * room_ms
 
-    def _return_ms(self, ticket: Ticket, now_ms: float) -> float:
+    def _return_ms(self, ticket: AdmissionRequest, now_ms: float) -> float:
         # When it comes back it is late, and what is in time goes before it.
         # Told the wait of a newcomer, it would meet the same refusal again.
         late = (ticket.priority, True, math.inf)
         return min(self._wait_ms(ticket, late, now_ms), LONGEST_FORECAST_MS)
 
-    def expected_ms(self, ticket: Ticket, now_ms: float) -> float:
+    def expected_ms(self, ticket: AdmissionRequest, now_ms: float) -> float:
         """Returns the time that a request usually takes, as known now."""
         return self.service_times.expected_ms(ticket.route, now_ms)
 
@@ -172,7 +174,7 @@
         """Returns the usual request time of the slowest route in ms."""
         return self.service_times.max_expected_ms(now_ms)
 
-    def give_up_ms(self, ticket: Ticket) -> float:
+    def wait_deadline_ms(self, ticket: AdmissionRequest) -> float:
         """Returns when a waiting request is better refused after all.
 
         The target may stand still, and then nothing else ends the wait. A
@@ -192,12 +194,15 @@
         late_room_ms = max(0.0, ticket.deadline_ms - late_ms)
         return min(latest_ms, half_ms, late_ms + LATE_WAIT_PART * late_room_ms)
 
-    def wait_ms(self, ticket: Ticket, now_ms: float) -> float:
+    def wait_ms(self, ticket: AdmissionRequest, now_ms: float) -> float:
         """Returns how long a new request would wait for its slot."""
         return self._wait_ms(ticket, self._rank(ticket, now_ms), now_ms)
 
     def _wait_ms(
-        self, ticket: Ticket, own: tuple[int, bool, float], now_ms: float
+        self,
+        ticket: AdmissionRequest,
+        own: tuple[int, bool, float],
+        now_ms: float,
     ) -> float:
         ahead_ms = sum(
             self.expected_ms(item, now_ms)
@@ -212,7 +217,7 @@
         self, own: tuple[int, bool, float], queue_wait_ms: float, now_ms: float
     ) -> float:
         slots = max(1, self.limit.current)
-        rest = self.taken.available_fraction(
+        rest = self.rank_load.available_fraction(
             Rank(own[0], own[1]), slots, now_ms
         )
         return queue_wait_ms / rest
@@ -226,7 +231,9 @@
         # ends after 2 / (n + 1) of it.
         return left_ms / slots * 2 / (slots + 1)
 
-    def _rank(self, ticket: Ticket, now_ms: float) -> tuple[int, bool, float]:
+    def _rank(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> tuple[int, bool, float]:
         if ticket.brief:
             return ticket.priority, False, -math.inf
         if self._is_late(ticket, now_ms):
@@ -236,7 +243,7 @@
         )
         return ticket.priority, False, spare_ms
 
-    def _is_late(self, ticket: Ticket, now_ms: float) -> bool:
+    def _is_late(self, ticket: AdmissionRequest, now_ms: float) -> bool:
         if ticket.brief:
             return False
         if ticket.past_objective:
@@ -245,7 +252,7 @@
             ticket, now_ms
         )
 
-    def _left_ms(self, ticket: Ticket, now_ms: float) -> float:
+    def _left_ms(self, ticket: AdmissionRequest, now_ms: float) -> float:
         usual_ms = self.expected_ms(ticket, now_ms)
         taken_ms = now_ms - (ticket.started_ms or now_ms)
         return max(usual_ms - taken_ms, LEAST_LEFT * usual_ms)
@@ -253,41 +260,43 @@
     def _has_slot(self) -> bool:
         return self.in_flight < self.limit.current
 
-    def _offer_isolated(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def _offer_isolated(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         # One at a time: several would empty the target for each in turn and
         # take it from the requests that are no danger. Behind long work, the
         # target would stand idle for seconds; the suspect comes back later.
         empty_ms = max(
             (self._left_ms(item, now_ms) for item in self.running), default=0.0
         )
-        room_ms = min(ticket.deadline_ms - now_ms, LONGEST_HOLD_MS)
+        room_ms = min(ticket.deadline_ms - now_ms, MAX_ISOLATION_HOLD_MS)
         if self.isolated_request is not None or empty_ms > room_ms:
-            return self._reject(ErrorKind.OVERLOADED, LONGEST_HOLD_MS)
+            return self._reject(ErrorKind.OVERLOADED, MAX_ISOLATION_HOLD_MS)
         return self._start_isolated(ticket, now_ms)
 
-    def _occupy(self, ticket: Ticket) -> None:
+    def _acquire(self, ticket: AdmissionRequest) -> None:
         self.running.add(ticket)
         if ticket.brief:
             assert ticket.started_ms is not None
-            self.brief.started(ticket.route, ticket.started_ms)
+            self.brief_work.on_start(ticket.route, ticket.started_ms)
 
-    def _vacate(self, ticket: Ticket) -> None:
+    def _release(self, ticket: AdmissionRequest) -> None:
         self.running.discard(ticket)
 
-    def _unqueue(self, ticket: Ticket) -> None:
+    def _remove_queued(self, ticket: AdmissionRequest) -> None:
         if ticket in self.queue:
             self.queue.remove(ticket)
 
-    def _start_queued(self, now_ms: float) -> Iterator[Ticket]:
+    def _start_queued(self, now_ms: float) -> Iterator[AdmissionRequest]:
         while self.queue and self._has_slot():
             ticket = min(self.queue, key=lambda item: self._rank(item, now_ms))
             self.queue.remove(ticket)
             self._start(ticket, now_ms)
             yield ticket
 
-    def _drop_queued(self, now_ms: float) -> list[Ticket]:
+    def _drop_queued(self, now_ms: float) -> list[AdmissionRequest]:
         # Its caller learns now, and not at its deadline, that it will not run.
-        dropped = self._expected_to_give_up(now_ms)
+        dropped = self._expected_to_time_out(now_ms)
         for ticket in dropped:
             self.queue.remove(ticket)
         surplus = self._excess_past_objective(now_ms)
@@ -295,7 +304,7 @@
             self.queue.remove(ticket)
         return dropped + surplus
 
-    def _expected_to_give_up(self, now_ms: float) -> list[Ticket]:
+    def _expected_to_time_out(self, now_ms: float) -> list[AdmissionRequest]:
         # Later arrivals with a better rank lengthen the wait estimated on
         # arrival, so it is estimated again for the whole queue.
         if not self.queue:
@@ -312,7 +321,7 @@
                 queue_wait_ms += self.expected_ms(ticket, now_ms) / slots
         return giving_up
 
-    def _excess_past_objective(self, now_ms: float) -> list[Ticket]:
+    def _excess_past_objective(self, now_ms: float) -> list[AdmissionRequest]:
         # What was in time when it came and has become late since would be
         # overtaken by every newcomer until its half time is over.
         late = [item for item in self.queue if self._is_late(item, now_ms)]
@@ -328,7 +337,7 @@
         self.declined += 1
         return Rejected(ErrorKind.OVERLOADED, max(1, round(wait_ms)))
 
-    def _learn_time(
-        self, ticket: Ticket, took_ms: float, now_ms: float
+    def _add_service_time(
+        self, ticket: AdmissionRequest, took_ms: float, now_ms: float
     ) -> None:
         self.service_times.add(ticket.route, took_ms, now_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/_exchange.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_exchange.py
@@ -27,7 +27,7 @@
     RESPONDING = "answering"
 
 
-class FrameVerdict(enum.Enum):
+class FrameDecision(enum.Enum):
     """What to do with a frame that came in.
 
     Attributes:
@@ -85,13 +85,13 @@
         self.exchanges[request_id] = Exchange(ExchangeState.QUEUED, self.window)
         return request_id
 
-    def written(self, request_id: int) -> None:
+    def on_written(self, request_id: int) -> None:
         """Notes that bytes of a request were handed to the connection."""
         exchange = self.exchanges.get(request_id)
         if exchange is not None and exchange.state is ExchangeState.QUEUED:
             exchange.state = ExchangeState.SENT
 
-    def replied(self, request_id: int, more: bool) -> FrameVerdict:
+    def on_reply(self, request_id: int, more: bool) -> FrameDecision:
         """Takes the reply of a request.
 
         Args:
@@ -108,13 +108,13 @@
             return self._violation()
         if not more:
             del self.exchanges[request_id]
-            return FrameVerdict.DELIVER
+            return FrameDecision.DELIVER
         exchange.state = ExchangeState.RESPONDING
-        return FrameVerdict.DELIVER
+        return FrameDecision.DELIVER
 
-    def chunk(
+    def on_chunk(
         self, request_id: int, size: int, more: bool, aborted: bool
-    ) -> FrameVerdict:
+    ) -> FrameDecision:
         """Takes a chunk of an answer.
 
         Args:
@@ -137,9 +137,9 @@
             return self._violation()
         if aborted or not more:
             del self.exchanges[request_id]
-        return FrameVerdict.DELIVER
+        return FrameDecision.DELIVER
 
-    def granted(self, request_id: int, size: int) -> bool:
+    def grant_credit(self, request_id: int, size: int) -> bool:
         """Lets the peer send more of an answer.
 
         Args:
@@ -155,22 +155,22 @@
         exchange.credit += size
         return True
 
-    def credited(self, request_id: int) -> FrameVerdict:
+    def on_credit(self, request_id: int) -> FrameDecision:
         """Takes the peer's leave to send more of a request's body."""
         if request_id in self.exchanges:
-            return FrameVerdict.DELIVER
+            return FrameDecision.DELIVER
         return self._drop(request_id)
 
-    def slot_offered(self, request_id: int) -> FrameVerdict:
+    def on_slot_offer(self, request_id: int) -> FrameDecision:
         """Takes the peer's offer of a slot for a request that binds late."""
         exchange = self.exchanges.get(request_id)
         if exchange is None:
             return self._drop(request_id)
         if exchange.state is not ExchangeState.SENT:
             return self._violation()
-        return FrameVerdict.DELIVER
+        return FrameDecision.DELIVER
 
-    def given_up(self, request_id: int) -> ExchangeState | None:
+    def cancel(self, request_id: int) -> ExchangeState | None:
         """Ends a request that its caller gave up or whose deadline passed.
 
         Returns:
@@ -196,7 +196,7 @@
             del self.exchanges[request_id]
         return refused
 
-    def lost(self) -> Iterator[tuple[int, ErrorKind]]:
+    def on_stream_lost(self) -> Iterator[tuple[int, ErrorKind]]:
         """Ends every request because the stream broke.
 
         Yields:
@@ -205,24 +205,24 @@
         """
         exchanges, self.exchanges = self.exchanges, {}
         for request_id, exchange in exchanges.items():
-            yield request_id, lost_kind(exchange.state)
+            yield request_id, lost_error_kind(exchange.state)
 
-    def _drop(self, request_id: int) -> FrameVerdict:
+    def _drop(self, request_id: int) -> FrameDecision:
         if 0 < request_id < self.next_id:
             self.late_frames += 1
         else:
             self.unknown_frames += 1
-        return FrameVerdict.DROP
+        return FrameDecision.DROP
 
-    def _violation(self) -> FrameVerdict:
+    def _violation(self) -> FrameDecision:
         self.violations += 1
-        return FrameVerdict.VIOLATION
+        return FrameDecision.VIOLATION
 
 
-def lost_kind(state: ExchangeState) -> ErrorKind:
+def lost_error_kind(state: ExchangeState) -> ErrorKind:
     """Returns the error of a request whose stream broke.
 
-    >>> lost_kind(ExchangeState.QUEUED)
+    >>> lost_error_kind(ExchangeState.QUEUED)
     <ErrorKind.PEER_UNREACHABLE: 'peer_unreachable'>
     """
     if state is ExchangeState.QUEUED:
@@ -230,10 +230,10 @@
     return ErrorKind.PEER_LOST
 
 
-def deadline_kind(state: ExchangeState) -> ErrorKind:
+def deadline_error_kind(state: ExchangeState) -> ErrorKind:
     """Returns the error of a request whose deadline passed.
 
-    >>> deadline_kind(ExchangeState.QUEUED)
+    >>> deadline_error_kind(ExchangeState.QUEUED)
     <ErrorKind.DEADLINE_NOT_RUN: 'deadline_not_run'>
     """
     if state is ExchangeState.QUEUED:
--- a/packages/pomelobank-core/src/pomelobank_core/_quarantine.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_quarantine.py
@@ -25,7 +25,7 @@
 MAX_ENTRIES = 1024
 
 
-class Standing(enum.Enum):
+class QuarantineState(enum.Enum):
     """What may be done with a request.
 
     Attributes:
@@ -114,13 +114,13 @@
         entries: Suspicions by fingerprint, the oldest first.
         suspected: Requests that became suspects.
         quarantined: Quarantines that were imposed.
-        acquitted: Suspects that ran to their end.
+        cleared: Suspects that ran to their end.
     """
 
     entries: dict[bytes, Suspicion] = attrs.field(factory=dict)
     suspected: int = 0
     quarantined: int = 0
-    acquitted: int = 0
+    cleared: int = 0
 
     def add(self, evidence: Evidence, now_ms: float) -> None:
         """Takes one observation, the own or another node's."""
@@ -139,19 +139,19 @@
         if proven or entry.points >= QUARANTINE_POINTS:
             self._quarantine(entry, now_ms)
 
-    def standing(self, fingerprint: bytes, now_ms: float) -> Standing:
+    def state(self, fingerprint: bytes, now_ms: float) -> QuarantineState:
         """Returns what may be done with a request."""
         entry = self.entries.get(fingerprint)
         if entry is None:
-            return Standing.CLEAR
+            return QuarantineState.CLEAR
         if entry.quarantined_until_ms > now_ms:
-            return Standing.QUARANTINED
+            return QuarantineState.QUARANTINED
         if entry.until_ms <= now_ms:
             del self.entries[fingerprint]
-            return Standing.CLEAR
+            return QuarantineState.CLEAR
         if entry.points >= SUSPECT_POINTS:
-            return Standing.SUSPECT
-        return Standing.CLEAR
+            return QuarantineState.SUSPECT
+        return QuarantineState.CLEAR
 
     def retry_after_ms(self, fingerprint: bytes, now_ms: float) -> int:
         """Returns when a quarantined request may be tried again."""
@@ -181,7 +181,7 @@
     def _clear(self, fingerprint: bytes, now_ms: float) -> None:
         # A quarantined request was seen to crash a target on its own; one like
         # it that ends elsewhere at the same time does not undo that.
-        if self.standing(fingerprint, now_ms) is Standing.QUARANTINED:
+        if self.state(fingerprint, now_ms) is QuarantineState.QUARANTINED:
             return
         if self.entries.pop(fingerprint, None) is not None:
-            self.acquitted += 1
+            self.cleared += 1
--- a/packages/pomelobank-core/src/pomelobank_core/_rejections.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_rejections.py
@@ -2,8 +2,8 @@
 
 import random
 
+from pomelobank_core._admission_request import Rejected
 from pomelobank_core._errors import ErrorKind
-from pomelobank_core._tickets import Rejected
 
 # Sooner than this a caller would meet the same queue again.
 MIN_RETRY_AFTER_MS = 50
--- a/packages/pomelobank-core/src/pomelobank_core/_retry_budget.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_retry_budget.py
@@ -11,12 +11,12 @@
 # three tries at each hop would be 3^13 = 1.6 million times.
 BUDGET_RATIO = 0.1
 # Kept for bursts of failures, as when a target with ten requests dies.
-BUDGET_MOST = 20.0
+MAX_BUDGET = 20.0
 # So that an upstream with one request a minute may still retry it.
 BUDGET_FLOOR_PER_S = 0.5
 # Part of the mesh's allowance that nodes use. The rest is for what no node
 # sees: calls that a repeated run makes again, and nodes whose views differ.
-SHARED_PART = 0.6
+USABLE_FRACTION = 0.6
 # Buckets of a sliding window: a try is counted for a tenth longer at most.
 _BUCKETS = 10
 _MS_PER_S = 1000.0
@@ -55,7 +55,7 @@
         denied: Tries that were not.
     """
 
-    tokens: float = BUDGET_MOST
+    tokens: float = MAX_BUDGET
     refilled_ms: float | None = None
     spent: int = 0
     denied: int = 0
@@ -63,7 +63,7 @@
     def on_first_attempt(self, now_ms: float) -> None:
         """Takes a request's first try."""
         self._refill(now_ms)
-        self.tokens = min(BUDGET_MOST, self.tokens + BUDGET_RATIO)
+        self.tokens = min(MAX_BUDGET, self.tokens + BUDGET_RATIO)
 
     def try_acquire(self, now_ms: float) -> bool:
         """Takes one try out; returns whether there was one."""
@@ -79,7 +79,7 @@
         if self.refilled_ms is not None:
             passed_ms = max(0.0, now_ms - self.refilled_ms)
             floor = BUDGET_FLOOR_PER_S * passed_ms / _MS_PER_S
-            self.tokens = min(BUDGET_MOST, self.tokens + floor)
+            self.tokens = min(MAX_BUDGET, self.tokens + floor)
         self.refilled_ms = now_ms
 
 
@@ -113,7 +113,7 @@
         ratio: Part of the first tries that may be tried again.
         slack: Tries that the whole mesh has beside that.
         window_ms: Length of the window.
-        nodes: Tells among how many nodes the slack is divided.
+        node_count: Tells among how many nodes the slack is divided.
         buckets: Parts of the window, the oldest first.
         spent: Tries that were allowed.
         denied: Tries that were not.
@@ -122,7 +122,7 @@
     ratio: float
     slack: float
     window_ms: float
-    nodes: Callable[[], int]
+    node_count: Callable[[], int]
     buckets: deque[_Bucket] = attrs.field(factory=deque)
     spent: int = 0
     denied: int = 0
@@ -144,8 +144,8 @@
 
     def _allowance(self) -> float:
         first = sum(item.first for item in self.buckets)
-        slack = self.slack / max(1, self.nodes())
-        return SHARED_PART * (self.ratio * first + slack)
+        slack = self.slack / max(1, self.node_count())
+        return USABLE_FRACTION * (self.ratio * first + slack)
 
     def _bucket(self, now_ms: float) -> _Bucket:
         while self.buckets and self._is_past(self.buckets[0], now_ms):
--- a/packages/pomelobank-core/src/pomelobank_core/_slot_sharing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_slot_sharing.py
@@ -6,8 +6,8 @@
 
 import attrs
 
+from pomelobank_core._admission_request import AdmissionRequest, TrafficClass
 from pomelobank_core._concurrency import ConcurrencyLimit
-from pomelobank_core._tickets import Ticket, TrafficClass
 
 _PERCENT = 100
 _URGENCY = tuple(TrafficClass)
@@ -24,7 +24,7 @@
 
     limit: ConcurrencyLimit
     running: dict[TrafficClass, int]
-    queues: dict[TrafficClass, deque[Ticket]]
+    queues: dict[TrafficClass, deque[AdmissionRequest]]
 
     @property
     def in_flight(self) -> int:
@@ -44,7 +44,7 @@
 
     percent: dict[TrafficClass, int]
 
-    def part(self, traffic_class: TrafficClass, limit: int) -> int:
+    def slots_for(self, traffic_class: TrafficClass, limit: int) -> int:
         """Returns the slots that are guaranteed to a class.
 
         With few slots the most urgent classes get theirs first, and one slot
@@ -66,7 +66,7 @@
 
     percent: dict[TrafficClass, int]
 
-    def part(self, traffic_class: TrafficClass, limit: int) -> int:
+    def slots_for(self, traffic_class: TrafficClass, limit: int) -> int:
         """Returns the slots of a class."""
         share = limit * self.percent[traffic_class]
         return max(1, share // sum(self.percent.values()))
@@ -122,7 +122,7 @@
     traffic_class: TrafficClass,
     now_ms: float,
 ) -> bool:
-    part = policy.part(traffic_class, state.limit.current)
+    part = policy.slots_for(traffic_class, state.limit.current)
     if state.in_flight >= state.limit.current:
         return False
     return state.running[traffic_class] < part
@@ -148,7 +148,7 @@
     return True
 
 
-def queues_ahead(
+def queued_ahead(
     policy: AdmissionPolicy, state: Slots, traffic_class: TrafficClass
 ) -> int:
     """Returns how many requests wait in front of a new one of a class."""
@@ -178,7 +178,7 @@
     )
 
 
-def turnover(
+def usable_busy_slots(
     policy: AdmissionPolicy,
     state: Slots,
     traffic_class: TrafficClass,
--- a/packages/pomelobank-core/src/pomelobank_core/_target_lease.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_target_lease.py
@@ -12,14 +12,14 @@
 
     Attributes:
         NONE: Nothing; at most the lease was renewed.
-        TAKEN: The target is new, back, or another than before.
+        ACTIVATED: The target is new, back, or another than before.
         RESTARTED: A target that was leaving has started again.
         DRAINING: The target is leaving.
         LAPSED: The target fell silent.
     """
 
     NONE = "none"
-    TAKEN = "taken"
+    ACTIVATED = "taken"
     RESTARTED = "restarted"
     DRAINING = "draining"
     LAPSED = "lapsed"
@@ -51,7 +51,9 @@
     closed: bool = False
     lapses: int = 0
 
-    def take(self, new: TargetAnnouncement, now_ms: int) -> TargetChange:
+    def on_announcement(
+        self, new: TargetAnnouncement, now_ms: int
+    ) -> TargetChange:
         """Takes an announcement."""
         old, self.announcement = self.announcement, new
         returned, self.lapsed = self.lapsed, False
@@ -63,7 +65,7 @@
         if self.draining:
             return self._restart(old, new, returned)
         if returned or old != new:
-            return TargetChange.TAKEN
+            return TargetChange.ACTIVATED
         return TargetChange.NONE
 
     def _restart(
--- a/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
@@ -6,20 +6,20 @@
 
 from pomelobank_core import (
     Admission,
+    AdmissionRequest,
     CandidateIndex,
-    Change,
     ConcurrencyLimit,
     ErrorKind,
     FailedAttempt,
     LoadBalancer,
     MemberTable,
+    QueueChange,
     Rejected,
     RequestOutcome,
     RetryPolicy,
     RoundRobin,
     Started,
     TargetResult,
-    Ticket,
     TrafficClass,
     TwoChoices,
     WorkResult,
@@ -54,7 +54,7 @@
     slow_factor: float = 1.0
     dead: bool = False
     runs: int = 0
-    waiting: dict[Ticket, "Visit"] = attrs.field(factory=dict)
+    waiting: dict[AdmissionRequest, "Visit"] = attrs.field(factory=dict)
     present: list["Visit"] = attrs.field(factory=list)
 
 
@@ -67,7 +67,7 @@
     target: FleetTarget
     tried: set[str]
     sent_ms: float
-    ticket: Ticket | None = None
+    ticket: AdmissionRequest | None = None
     over: bool = False
     retry_after_ms: int = 0
 
@@ -189,7 +189,7 @@
             return
         now_ms = self.events.now_ms
         call = visit.call
-        visit.ticket = Ticket(
+        visit.ticket = AdmissionRequest(
             call.traffic_class, call.route, call.at_ms + call.timeout_ms
         )
         verdict = visit.target.admission.offer(visit.ticket, now_ms)
@@ -228,7 +228,7 @@
         self._leave(visit, ErrorKind.DEADLINE_UNKNOWN if late else None)
         self._carry_out(visit.target, change)
 
-    def _carry_out(self, target: FleetTarget, change: Change) -> None:
+    def _carry_out(self, target: FleetTarget, change: QueueChange) -> None:
         for ticket in change.started:
             self._run(target.waiting.pop(ticket))
         for ticket in change.expired:
--- a/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
@@ -10,15 +10,15 @@
 from pomelobank_core import (
     Admission,
     AdmissionPolicy,
-    Change,
+    AdmissionRequest,
     ConcurrencyLimit,
     ErrorKind,
     FirstCome,
     FixedPartition,
     GuaranteedShared,
+    QueueChange,
     Rejected,
     Started,
-    Ticket,
     TrafficClass,
     WorkResult,
 )
@@ -80,7 +80,7 @@
     max_queue_ms: int = 200
     events: Events = attrs.field(factory=Events)
     calls: list[Call] = attrs.field(factory=list)
-    waiting: dict[Ticket, Call] = attrs.field(factory=dict)
+    waiting: dict[AdmissionRequest, Call] = attrs.field(factory=dict)
     slow_factor: float = 1.0
     most_busy: int = 0
 
@@ -129,7 +129,7 @@
 
     def _offer(self, call: Call) -> None:
         now_ms = self.events.now_ms
-        ticket = Ticket(
+        ticket = AdmissionRequest(
             call.traffic_class, call.route, now_ms + call.timeout_ms
         )
         verdict = self.admission.offer(ticket, now_ms)
@@ -144,19 +144,19 @@
     def _look(self) -> None:
         self._carry_out(self.admission.start_waiting(self.events.now_ms))
 
-    def _begin(self, ticket: Ticket, call: Call) -> None:
+    def _begin(self, ticket: AdmissionRequest, call: Call) -> None:
         self.most_busy = max(self.most_busy, self.admission.in_flight)
         end_ms = self.events.now_ms + call.work_ms * self.slow_factor
         self.events.at(end_ms, lambda: self._finish(ticket, call))
 
-    def _finish(self, ticket: Ticket, call: Call) -> None:
+    def _finish(self, ticket: AdmissionRequest, call: Call) -> None:
         now_ms = self.events.now_ms
         in_time = now_ms <= ticket.deadline_ms
         self._end(call, "answered" if in_time else "deadline_unknown")
         change = self.admission.finish(ticket, WorkResult.RESPONDED, now_ms)
         self._carry_out(change)
 
-    def _carry_out(self, change: Change) -> None:
+    def _carry_out(self, change: QueueChange) -> None:
         for ticket in change.started:
             self._begin(ticket, self.waiting.pop(ticket))
         for ticket in change.expired:
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
@@ -9,11 +9,11 @@
 from pomelobank_core import (
     Admission,
     AdmissionPolicy,
+    AdmissionRequest,
     ConcurrencyLimit,
     ErrorKind,
     Rejected,
     Started,
-    Ticket,
     TrafficClass,
     WorkResult,
 )
@@ -135,11 +135,11 @@
 def test_fewer_slots_start_nothing_new() -> None:
     """A target announces half its slots while all are taken."""
     admission = Admission(SHARED, ConcurrencyLimit(8, 8, False), 1000)
-    running = [Ticket(INTERACTIVE, "r", 10_000) for _ in range(8)]
+    running = [AdmissionRequest(INTERACTIVE, "r", 10_000) for _ in range(8)]
     for ticket in running:
         assert isinstance(admission.offer(ticket, 0), Started)
     admission.set_slots(4, 1)
-    admission.offer(Ticket(INTERACTIVE, "r", 10_000), 2)
+    admission.offer(AdmissionRequest(INTERACTIVE, "r", 10_000), 2)
     for ticket in running[:4]:
         assert not admission.finish(ticket, WorkResult.RESPONDED, 5).started
     change = admission.finish(running[4], WorkResult.RESPONDED, 6)
@@ -159,19 +159,19 @@
 )
 def test_parts_of_few_slots(limit: int, parts: list[int]) -> None:
     """A target sheds and is down to a few slots during a batch run."""
-    assert [SHARED.part(item, limit) for item in TrafficClass] == parts
+    assert [SHARED.slots_for(item, limit) for item in TrafficClass] == parts
 
 
 def test_passed_deadline_and_cancellation() -> None:
     """A caller hangs up in the queue; another one's time runs out there."""
     admission = Admission(SHARED, ConcurrencyLimit(1, 1, False), 1000)
-    first = Ticket(INTERACTIVE, "r", 10_000)
+    first = AdmissionRequest(INTERACTIVE, "r", 10_000)
     assert isinstance(admission.offer(first, 0), Started)
-    hung_up = Ticket(INTERACTIVE, "r", 10_000)
-    too_late = Ticket(INTERACTIVE, "r", 400)
+    hung_up = AdmissionRequest(INTERACTIVE, "r", 10_000)
+    too_late = AdmissionRequest(INTERACTIVE, "r", 400)
     admission.offer(hung_up, 1)
     admission.offer(too_late, 1)
-    admission.leave(hung_up, 2)
+    admission.cancel(hung_up, 2)
     change = admission.finish(first, WorkResult.RESPONDED, 500)
     assert (change.started, change.expired) == ((), (too_late,))
     assert (admission.waiting, admission.in_flight) == (0, 0)
@@ -183,7 +183,7 @@
         SHARED, ConcurrencyLimit(10, 10, False), 200, random.Random(1)
     )
     verdicts = [
-        admission.offer(Ticket(INTERACTIVE, "r", 60_000), 0)
+        admission.offer(AdmissionRequest(INTERACTIVE, "r", 60_000), 0)
         for _ in range(1000)
     ]
     refused = [item for item in verdicts if isinstance(item, Rejected)]
@@ -194,14 +194,16 @@
 def test_suspect_runs_alone() -> None:
     """A request that may crash the target must have no neighbours."""
     admission = Admission(SHARED, ConcurrencyLimit(4, 4, False), 1000)
-    innocent = Ticket(INTERACTIVE, "r", 10_000)
+    innocent = AdmissionRequest(INTERACTIVE, "r", 10_000)
     admission.offer(innocent, 0)
-    suspect = Ticket(INTERACTIVE, "s", 10_000, isolated=True)
-    later = Ticket(INTERACTIVE, "r", 10_000)
+    suspect = AdmissionRequest(INTERACTIVE, "s", 10_000, isolated=True)
+    later = AdmissionRequest(INTERACTIVE, "r", 10_000)
     admission.offer(suspect, 1)
     admission.offer(later, 2)
     assert isinstance(
-        admission.offer(Ticket(INTERACTIVE, "s", 10_000, isolated=True), 3),
+        admission.offer(
+            AdmissionRequest(INTERACTIVE, "s", 10_000, isolated=True), 3
+        ),
         Rejected,
     )
     change = admission.finish(innocent, WorkResult.RESPONDED, 5)
@@ -226,8 +228,8 @@
     slots: int,
 ) -> None:
     admission = Admission(policy, ConcurrencyLimit(slots, slots, False), 100)
-    running: list[Ticket] = []
-    waiting: list[Ticket] = []
+    running: list[AdmissionRequest] = []
+    waiting: list[AdmissionRequest] = []
     now_ms = 0.0
     for action, number, traffic_class in steps:
         now_ms += 1
@@ -235,7 +237,9 @@
         before = admission.in_flight
         if action == "offer":
             alone = number == 0
-            ticket = Ticket(traffic_class, "r", now_ms + 10 * number, alone)
+            ticket = AdmissionRequest(
+                traffic_class, "r", now_ms + 10 * number, alone
+            )
             verdict = admission.offer(ticket, now_ms)
             if isinstance(verdict, Started):
                 running.append(ticket)
@@ -247,7 +251,7 @@
             change = admission.finish(ticket, WorkResult.RESPONDED, now_ms)
         elif action == "leave" and waiting:
             ticket = waiting.pop(number % len(waiting))
-            change = admission.leave(ticket, now_ms)
+            change = admission.cancel(ticket, now_ms)
         elif action == "slots":
             change = admission.set_slots(1 + number % 12, now_ms)
         elif action == "wait":
@@ -261,13 +265,13 @@
         _check(admission, running, waiting, before)
     # The next look at any time drops whatever has expired.
     admission.start_waiting(now_ms)
-    assert all(t.deadline_ms > now_ms for t in admission.waiting_tickets())
+    assert all(t.deadline_ms > now_ms for t in admission.queued_requests())
 
 
 def _check(
     admission: Admission,
-    running: list[Ticket],
-    waiting: list[Ticket],
+    running: list[AdmissionRequest],
+    waiting: list[AdmissionRequest],
     before: int,
 ) -> None:
     assert admission.in_flight == len(running)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_concurrency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_concurrency.py
@@ -24,7 +24,7 @@
             if place < 4:
                 limit.on_response("r", 10, tried)
             else:
-                limit.shed()
+                limit.on_shed()
                 shed += 1
     assert limit.current in (4, 5)
     assert shed <= 0.05 * 200 * 4
@@ -33,7 +33,7 @@
 def test_one_burst_of_sheds_is_one_step() -> None:
     limit = ConcurrencyLimit(20, 20, False)
     for _ in range(10):
-        limit.shed()
+        limit.on_shed()
     assert limit.current == 18
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
@@ -6,12 +6,12 @@
 import pytest
 
 from pomelobank_core import (
+    AdmissionRequest,
     ConcurrencyLimit,
     DeadlineAdmission,
     Queued,
     Rejected,
     Started,
-    Ticket,
     TrafficClass,
     WorkResult,
 )
@@ -59,7 +59,7 @@
     def __attrs_post_init__(self) -> None:
         limit = ConcurrencyLimit(self.slots, current=self.slots, cold=False)
         self.admission = DeadlineAdmission(limit, self.seeded)
-        self.work: dict[Ticket, Work] = {}
+        self.work: dict[AdmissionRequest, Work] = {}
         self.refused_after_ms: list[float] = []
 
     def load(self, work: Work, begin_ms: float, end_ms: float) -> None:
@@ -71,7 +71,7 @@
 
     def _offer(self, work: Work) -> None:
         now_ms = self.events.now_ms
-        ticket = Ticket(
+        ticket = AdmissionRequest(
             TrafficClass.INTERACTIVE,
             work.route,
             now_ms + work.timeout_ms,
@@ -87,14 +87,14 @@
             self._count(ticket, "refused")
             self.refused_after_ms.append(0.0)
 
-    def _run(self, ticket: Ticket) -> None:
+    def _run(self, ticket: AdmissionRequest) -> None:
         work = self.work[ticket]
         took_ms = work.work_ms * self.seeded.uniform(0.7, 1.3)
         self.events.at(
             self.events.now_ms + took_ms, lambda: self._ended(ticket)
         )
 
-    def _ended(self, ticket: Ticket) -> None:
+    def _ended(self, ticket: AdmissionRequest) -> None:
         now_ms = self.events.now_ms
         change = self.admission.finish(ticket, WorkResult.RESPONDED, now_ms)
         work = self.work[ticket]
@@ -105,7 +105,7 @@
         for item in change.started:
             self._run(item)
 
-    def _count(self, ticket: Ticket, outcome: str) -> None:
+    def _count(self, ticket: AdmissionRequest, outcome: str) -> None:
         route = self.outcomes.setdefault(ticket.route, {})
         route[outcome] = route.get(outcome, 0) + 1
 
@@ -199,7 +199,7 @@
         ConcurrencyLimit(1, current=1, cold=False), random.Random(1)
     )
     running, waiting = (
-        Ticket(
+        AdmissionRequest(
             TrafficClass.BATCH, "list", 4000, priority=2, objective_at_ms=3000
         )
         for _ in range(2)
@@ -208,12 +208,14 @@
     assert isinstance(admission.offer(waiting, 0), Queued)
     for _ in range(30):
         admission.offer(
-            Ticket(TrafficClass.INTERNAL, "call", 6000, objective_at_ms=6000),
+            AdmissionRequest(
+                TrafficClass.INTERNAL, "call", 6000, objective_at_ms=6000
+            ),
             10,
         )
     change = admission.finish(running, WorkResult.RESPONDED, 100)
     assert waiting in change.expired
-    assert admission.give_up_ms(waiting) == 2000
+    assert admission.wait_deadline_ms(waiting) == 2000
 
 
 def test_a_caller_that_came_back_does_not_take_a_newcomers_slot() -> None:
@@ -273,7 +275,7 @@
     admission = target.admission
     times = []
     for _ in range(300):
-        ticket = Ticket(
+        ticket = AdmissionRequest(
             TrafficClass.INTERACTIVE, "a", 1000, objective_at_ms=300
         )
         verdict = admission.offer(ticket, 0)
@@ -292,7 +294,9 @@
     """
     target = Target()
     admission = target.admission
-    slow = Ticket(TrafficClass.INTERNAL, "call", 5000, objective_at_ms=150)
+    slow = AdmissionRequest(
+        TrafficClass.INTERNAL, "call", 5000, objective_at_ms=150
+    )
     admission.offer(slow, 0)
     admission.finish(slow, WorkResult.RESPONDED, 2000)
     target.events.now_ms = 2000
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_exchange.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_exchange.py
@@ -8,8 +8,8 @@
     ExchangeState,
     ExchangeTable,
     FrameAge,
-    FrameVerdict,
-    deadline_kind,
+    FrameDecision,
+    deadline_error_kind,
 )
 
 WINDOW = 100
@@ -44,25 +44,25 @@
 
     @rule(request_id=IDS)
     def write(self, request_id: int) -> None:
-        self.table.written(request_id)
+        self.table.on_written(request_id)
         if self.states.get(request_id) is ExchangeState.QUEUED:
             self.states[request_id] = ExchangeState.SENT
             self.written.add(request_id)
 
     @rule(request_id=IDS, more=strategies.booleans())
     def reply(self, request_id: int, more: bool) -> None:
-        verdict = self.table.replied(request_id, more)
+        verdict = self.table.on_reply(request_id, more)
         state = self.states.get(request_id)
         if state is None:
             self.dropped += 1
-            assert verdict is FrameVerdict.DROP
+            assert verdict is FrameDecision.DROP
         elif state is not ExchangeState.SENT:
-            assert verdict is FrameVerdict.VIOLATION
+            assert verdict is FrameDecision.VIOLATION
         elif more:
-            assert verdict is FrameVerdict.DELIVER
+            assert verdict is FrameDecision.DELIVER
             self.states[request_id] = ExchangeState.RESPONDING
         else:
-            assert verdict is FrameVerdict.DELIVER
+            assert verdict is FrameDecision.DELIVER
             del self.states[request_id]
 
     @rule(
@@ -74,36 +74,36 @@
     def chunk(
         self, request_id: int, size: int, more: bool, aborted: bool
     ) -> None:
-        verdict = self.table.chunk(request_id, size, more, aborted)
+        verdict = self.table.on_chunk(request_id, size, more, aborted)
         state = self.states.get(request_id)
         if state is None:
             self.dropped += 1
-            assert verdict is FrameVerdict.DROP
+            assert verdict is FrameDecision.DROP
             return
         if state is not ExchangeState.RESPONDING:
-            assert verdict is FrameVerdict.VIOLATION
+            assert verdict is FrameDecision.VIOLATION
             return
         self.left[request_id] -= size
         if self.left[request_id] < 0:
-            assert verdict is FrameVerdict.VIOLATION
+            assert verdict is FrameDecision.VIOLATION
             return
-        assert verdict is FrameVerdict.DELIVER
+        assert verdict is FrameDecision.DELIVER
         if aborted or not more:
             del self.states[request_id]
 
     @rule(request_id=IDS, size=SIZES)
     def grant(self, request_id: int, size: int) -> None:
-        told = self.table.granted(request_id, size)
+        told = self.table.grant_credit(request_id, size)
         assert told is (request_id in self.states)
         if told:
             self.left[request_id] += size
 
     @rule(request_id=IDS)
     def give_up(self, request_id: int) -> None:
-        state = self.table.given_up(request_id)
+        state = self.table.cancel(request_id)
         assert state is self.states.pop(request_id, None)
         if state is not None:
-            not_run = deadline_kind(state) is ErrorKind.DEADLINE_NOT_RUN
+            not_run = deadline_error_kind(state) is ErrorKind.DEADLINE_NOT_RUN
             assert not_run is (request_id not in self.written)
 
     @rule(last_id=IDS)
@@ -115,7 +115,7 @@
 
     @rule()
     def lose(self) -> None:
-        for request_id, kind in self.table.lost():
+        for request_id, kind in self.table.on_stream_lost():
             del self.states[request_id]
             not_run = kind is ErrorKind.PEER_UNREACHABLE
             assert not_run is (request_id not in self.written)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_quarantine.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_quarantine.py
@@ -7,8 +7,8 @@
     POINTS_NODE_LOST,
     POINTS_TARGET_LOST,
     Evidence,
+    QuarantineState,
     QuarantineTable,
-    Standing,
     fingerprint,
 )
 from pomelobank_core._quarantine import MAX_ENTRIES
@@ -32,12 +32,12 @@
     """
     table = QuarantineTable()
     _crash(table, BAD, GOOD, now_ms=0)
-    assert table.standing(BAD, 1) is Standing.SUSPECT
-    assert table.standing(GOOD, 1) is Standing.SUSPECT
+    assert table.state(BAD, 1) is QuarantineState.SUSPECT
+    assert table.state(GOOD, 1) is QuarantineState.SUSPECT
     table.add(Evidence(GOOD, cleared=True), 20)
     _crash(table, BAD, now_ms=30)
-    assert table.standing(GOOD, 31) is Standing.CLEAR
-    assert table.standing(BAD, 31) is Standing.QUARANTINED
+    assert table.state(GOOD, 31) is QuarantineState.CLEAR
+    assert table.state(BAD, 31) is QuarantineState.QUARANTINED
     assert table.retry_after_ms(BAD, 31) == 59_999
 
 
@@ -45,25 +45,25 @@
     """An operator kills a target that runs one request; that proves nothing."""
     table = QuarantineTable()
     _crash(table, GOOD, now_ms=0)
-    assert table.standing(GOOD, 1) is Standing.SUSPECT
+    assert table.state(GOOD, 1) is QuarantineState.SUSPECT
 
 
 def test_each_further_crash_doubles_the_time() -> None:
     table = QuarantineTable()
     _crash(table, BAD, now_ms=0)
     _crash(table, BAD, now_ms=1)
-    assert table.standing(BAD, 60_002) is Standing.SUSPECT
+    assert table.state(BAD, 60_002) is QuarantineState.SUSPECT
     _crash(table, BAD, now_ms=60_002)
-    assert table.standing(BAD, 60_002 + 119_000) is Standing.QUARANTINED
+    assert table.state(BAD, 60_002 + 119_000) is QuarantineState.QUARANTINED
 
 
 def test_herd_of_nodes_suspects_nobody_at_once() -> None:
     """A rack of nodes loses its power with hundreds of requests in flight."""
     table = QuarantineTable()
     table.add(Evidence(GOOD, POINTS_NODE_LOST), 0)
-    assert table.standing(GOOD, 1) is Standing.CLEAR
+    assert table.state(GOOD, 1) is QuarantineState.CLEAR
     table.add(Evidence(GOOD, POINTS_NODE_LOST), 2)
-    assert table.standing(GOOD, 3) is Standing.SUSPECT
+    assert table.state(GOOD, 3) is QuarantineState.SUSPECT
 
 
 def test_never_alone_yet_stopped() -> None:
@@ -71,7 +71,7 @@
     table = QuarantineTable()
     for now_ms in (0, 1, 2):
         _crash(table, BAD, GOOD, now_ms=now_ms)
-    assert table.standing(BAD, 3) is Standing.QUARANTINED
+    assert table.state(BAD, 3) is QuarantineState.QUARANTINED
 
 
 def test_end_elsewhere_does_not_lift_a_quarantine() -> None:
@@ -79,13 +79,13 @@
     _crash(table, BAD, now_ms=0)
     _crash(table, BAD, now_ms=1)
     table.add(Evidence(BAD, cleared=True), 2)
-    assert table.standing(BAD, 3) is Standing.QUARANTINED
+    assert table.state(BAD, 3) is QuarantineState.QUARANTINED
 
 
 def test_suspicion_is_forgotten() -> None:
     table = QuarantineTable()
     _crash(table, GOOD, now_ms=0)
-    assert table.standing(GOOD, 600_000) is Standing.CLEAR
+    assert table.state(GOOD, 600_000) is QuarantineState.CLEAR
     assert not table.entries
 
 
@@ -112,4 +112,4 @@
         if number == 7:
             single.add(item, 0)
     assert len(table.entries) <= MAX_ENTRIES
-    assert table.standing(b"7", 1) is single.standing(b"7", 1)
+    assert table.state(b"7", 1) is single.state(b"7", 1)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_retries.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_retries.py
@@ -9,7 +9,7 @@
 
 from pomelobank_core import ErrorKind, FailedAttempt, RetryBudget, RetryPolicy
 from pomelobank_core._retries import MAX_ATTEMPTS, MAX_TRANSPARENT_RETRIES
-from pomelobank_core._retry_budget import BUDGET_MOST
+from pomelobank_core._retry_budget import MAX_BUDGET
 from pomelobank_core.tests.fleet_support import Fleet, member
 
 FAILED = FailedAttempt(
@@ -93,7 +93,7 @@
             if retries.decide("stock", attempt, now_ms) is None:
                 break
             tries += 1
-    assert tries <= 5000 * 1.1 + BUDGET_MOST + 10
+    assert tries <= 5000 * 1.1 + MAX_BUDGET + 10
 
 
 def test_runs_stay_bounded_when_targets_die_one_by_one() -> None:
@@ -128,6 +128,6 @@
             firsts += 1
         else:
             budget.try_acquire(now_ms)
-        allowed = BUDGET_MOST + 0.1 * firsts + 0.5 * now_ms / 1000
+        allowed = MAX_BUDGET + 0.1 * firsts + 0.5 * now_ms / 1000
         assert budget.spent <= allowed + 1e-6
-        assert 0 <= budget.tokens <= BUDGET_MOST
+        assert 0 <= budget.tokens <= MAX_BUDGET
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_retry_budget.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_retry_budget.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from pomelobank_core import MeshRetryBudget
-from pomelobank_core._retry_budget import SHARED_PART
+from pomelobank_core._retry_budget import USABLE_FRACTION
 
 RATIO = 0.2
 SLACK = 60.0
@@ -31,7 +31,7 @@
     for _ in range(100):
         item.on_first_attempt(0)
     assert sum(item.try_acquire(0) for _ in range(100)) == int(
-        SHARED_PART * (RATIO * 100 + SLACK / 1000)
+        USABLE_FRACTION * (RATIO * 100 + SLACK / 1000)
     )
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_last_requests.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_shutdown_admission.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pomelobank_core import LastRequests
+from pomelobank_core import ShutdownAdmission
 
 
 @pytest.mark.parametrize(
@@ -17,7 +17,7 @@
     now_ms: float, retry_after_ms: int
 ) -> None:
     """Guards against callers that spend all attempts on a stopping node."""
-    last_requests = LastRequests(ends_at_ms=5000)
+    last_requests = ShutdownAdmission(shutdown_at_ms=5000)
     assert last_requests.retry_after_ms(now_ms) == retry_after_ms
 
 
@@ -35,4 +35,4 @@
     ends_at_ms: float | None, remaining_ms: float, now_ms: float, takes: bool
 ) -> None:
     """Guards against a late request that is cut off while a target runs it."""
-    assert LastRequests(ends_at_ms).takes(remaining_ms, now_ms) is takes
+    assert ShutdownAdmission(ends_at_ms).accepts(remaining_ms, now_ms) is takes
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_target_lease.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_target_lease.py
@@ -15,7 +15,7 @@
 SILENCE = None
 
 NONE = TargetChange.NONE
-TAKEN = TargetChange.TAKEN
+TAKEN = TargetChange.ACTIVATED
 DRAINING = TargetChange.DRAINING
 RESTARTED = TargetChange.RESTARTED
 LAPSED = TargetChange.LAPSED
@@ -68,13 +68,13 @@
         else:
             now_ms += LEASE_MS // 6
             assert lease.check(now_ms) is NONE
-            changes.append(lease.take(event, now_ms))
+            changes.append(lease.on_announcement(event, now_ms))
     assert changes == expected
 
 
 def test_a_stopping_node_takes_no_target() -> None:
     lease = TargetLease(LEASE_MS)
-    lease.take(PLAIN, 0)
+    lease.on_announcement(PLAIN, 0)
     lease.close()
-    assert lease.take(SECOND, 1) is NONE
+    assert lease.on_announcement(SECOND, 1) is NONE
     assert lease.drain() is NONE
--- a/packages/pomelobank-node/src/pomelobank_node/_admin.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_admin.py
@@ -115,6 +115,6 @@
 def _problem(error: SchemaError) -> Mapping[str, str]:
     return {
         "error": error.kind.value,
-        "field": error.where,
+        "field": error.field_path,
         "message": error.message,
     }
--- a/packages/pomelobank-node/src/pomelobank_node/_gate.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_admission_queue.py
@@ -8,7 +8,7 @@
 from pomelobank_core import (
     Admission,
     AdmissionPolicy,
-    Change,
+    AdmissionRequest,
     Clock,
     ConcurrencyLimit,
     DeadlineAdmission,
@@ -16,10 +16,10 @@
     FirstCome,
     FixedPartition,
     GuaranteedShared,
+    QueueChange,
     Rejected,
     SlotLimit,
     Started,
-    Ticket,
     TrafficClass,
     Unlimited,
     WorkResult,
@@ -64,23 +64,25 @@
 
 
 @attrs.define(eq=False)
-class Gate:
+class AdmissionQueue:
     """Carries out what admission decides.
 
     Attributes:
         admission: Decides.
         clock: Tells the time.
         waiting: Requests that wait, each with what wakes it.
-        waits: Requests that had to wait, for the metrics.
-        waited_ms: Time that they waited, in all.
+        wait_count: Requests that had to wait, for the metrics.
+        total_wait_ms: Time that they waited, in all.
         idle: Set while no request waits or runs.
     """
 
     admission: Admission | DeadlineAdmission
     clock: Clock
-    waiting: dict[Ticket, asyncio.Future[None]] = attrs.field(factory=dict)
-    waits: int = 0
-    waited_ms: int = 0
+    waiting: dict[AdmissionRequest, asyncio.Future[None]] = attrs.field(
+        factory=dict
+    )
+    wait_count: int = 0
+    total_wait_ms: int = 0
     idle: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
@@ -99,11 +101,11 @@
         """Returns the slowest route's usual time at the target in ms."""
         return self.admission.max_expected_service_ms(self.clock.now_ms())
 
-    async def enter(self, ticket: Ticket) -> None:
+    async def acquire(self, ticket: AdmissionRequest) -> None:
         """Returns once the request may go to the target.
 
         Args:
-            ticket: The request; `leave` must follow.
+            ticket: The request; `release` must follow.
 
         Raises:
             RequestError: OVERLOADED or DEADLINE_NOT_RUN; it has not run.
@@ -116,7 +118,7 @@
             return
         await self._wait(ticket)
 
-    def leave(self, ticket: Ticket, result: WorkResult) -> None:
+    def release(self, ticket: AdmissionRequest, result: WorkResult) -> None:
         """Takes the end of a request that had entered."""
         now_ms = self.clock.now_ms()
         self._carry_out(self.admission.finish(ticket, result, now_ms))
@@ -132,12 +134,12 @@
         now_ms = self.clock.now_ms()
         self._carry_out(self.admission.set_slots(slots, now_ms))
 
-    async def _wait(self, ticket: Ticket) -> None:
+    async def _wait(self, ticket: AdmissionRequest) -> None:
         woken = asyncio.get_running_loop().create_future()
         self.waiting[ticket] = woken
-        until_ms = self.admission.give_up_ms(ticket)
+        until_ms = self.admission.wait_deadline_ms(ticket)
         room_ms = until_ms - self.clock.now_ms()
-        self.waits += 1
+        self.wait_count += 1
         begun_ms = self.clock.now_ms()
         try:
             async with asyncio.timeout(room_ms / _MS_PER_S):
@@ -150,24 +152,24 @@
             raise
         finally:
             self.waiting.pop(ticket, None)
-            self.waited_ms += self.clock.now_ms() - begun_ms
+            self.total_wait_ms += self.clock.now_ms() - begun_ms
 
-    def _too_late(self, ticket: Ticket) -> ErrorKind:
+    def _too_late(self, ticket: AdmissionRequest) -> ErrorKind:
         # With time left, another target may still run it.
         if self.clock.now_ms() < ticket.deadline_ms:
             return ErrorKind.OVERLOADED
         return ErrorKind.DEADLINE_NOT_RUN
 
-    def _give_up(self, ticket: Ticket) -> None:
+    def _give_up(self, ticket: AdmissionRequest) -> None:
         # The slot may have been given in the same moment; it would stay taken
         # for good if the request went away without giving it back.
         if ticket.started_ms is not None:
-            self.leave(ticket, WorkResult.ABANDONED)
+            self.release(ticket, WorkResult.ABANDONED)
             return
         now_ms = self.clock.now_ms()
-        self._carry_out(self.admission.leave(ticket, now_ms))
+        self._carry_out(self.admission.cancel(ticket, now_ms))
 
-    def _carry_out(self, change: Change) -> None:
+    def _carry_out(self, change: QueueChange) -> None:
         for ticket in change.started:
             self._wake(ticket, None)
         for ticket in change.expired:
@@ -175,7 +177,9 @@
         if not self.outstanding:
             self.idle.set()
 
-    def _wake(self, ticket: Ticket, error: RequestError | None) -> None:
+    def _wake(
+        self, ticket: AdmissionRequest, error: RequestError | None
+    ) -> None:
         woken = self.waiting.get(ticket)
         if woken is None or woken.done():
             return
--- a/packages/pomelobank-node/src/pomelobank_node/_crash_reports.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_reports.py
@@ -15,8 +15,8 @@
     Evidence,
     MemberState,
     MemberTable,
+    QuarantineState,
     QuarantineTable,
-    Standing,
     fingerprint,
 )
 from pomelobank_node._peer_links import PeerLinks
@@ -65,7 +65,7 @@
     sent: int = 0
     rejected: int = 0
 
-    def check(self, request: ForwardRequest) -> Standing:
+    def check(self, request: ForwardRequest) -> QuarantineState:
         """Returns how a request may run.
 
         Raises:
@@ -73,11 +73,11 @@
         """
         # Digesting each body would cost every request for the sake of a few.
         if not self.table.entries:
-            return Standing.CLEAR
+            return QuarantineState.CLEAR
         print_ = request_fingerprint(request)
         now_ms = self.clock.now_ms()
-        standing = self.table.standing(print_, now_ms)
-        if standing is Standing.QUARANTINED:
+        standing = self.table.state(print_, now_ms)
+        if standing is QuarantineState.QUARANTINED:
             self.rejected += 1
             after_ms = self.table.retry_after_ms(print_, now_ms)
             raise RequestError(ErrorKind.QUARANTINED, after_ms)
--- a/packages/pomelobank-node/src/pomelobank_node/_dispatcher.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_dispatcher.py
@@ -9,8 +9,8 @@
     CallerTimeouts,
     Clock,
     ErrorKind,
-    LastRequests,
     RouteTable,
+    ShutdownAdmission,
     is_idempotent,
     pick_upstream,
     scoped_key,
@@ -92,7 +92,7 @@
         clock: Tells the time.
         exact_weights: Whether an upstream keeps its part of the requests also
             while none of its targets can serve; the others get it where not.
-        last_requests: Tells which requests a stopping node still takes.
+        shutdown_admission: Tells which requests a stopping node still takes.
         claims: Runs requests with an idempotency key, None where keys are left
             to the targets.
         caller_timeouts: Tells what callers have used on earlier attempts.
@@ -102,7 +102,9 @@
     forwarder: Forwarder
     clock: Clock
     exact_weights: bool = False
-    last_requests: LastRequests = attrs.field(factory=LastRequests)
+    shutdown_admission: ShutdownAdmission = attrs.field(
+        factory=ShutdownAdmission
+    )
     claims: "ClaimService | None" = None
     caller_timeouts: CallerTimeouts = attrs.field(factory=CallerTimeouts)
 
@@ -124,8 +126,12 @@
         if route is None:
             raise RequestError(ErrorKind.NO_ROUTE)
         request = with_rest(self._request(route, caller), caller.rest)
-        if not self.last_requests.takes(request.remaining_ms, request.sent_ms):
-            retry_after_ms = self.last_requests.retry_after_ms(request.sent_ms)
+        if not self.shutdown_admission.accepts(
+            request.remaining_ms, request.sent_ms
+        ):
+            retry_after_ms = self.shutdown_admission.retry_after_ms(
+                request.sent_ms
+            )
             raise RequestError(ErrorKind.DRAINING, retry_after_ms)
         trace = current_trace()
         trace.route = route.name
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -16,12 +16,12 @@
     Hedging,
     LoadBalancer,
     MemberTable,
+    QuarantineState,
     Ramp,
     RequestOutcome,
     Retry,
     RetryPolicy,
     RoundRobin,
-    Standing,
     TargetResult,
     TwoChoices,
     isolation_target,
@@ -220,7 +220,7 @@
         candidates = self.index.of(request.upstream)
         now_ms = self.clock.now_ms()
         standing = self.owner.reports.check(request)
-        journey.runs_isolated = standing is Standing.SUSPECT
+        journey.runs_isolated = standing is QuarantineState.SUSPECT
         if journey.runs_isolated:
             # Every node sends it to the same target, so that it runs once at
             # a time and a crash takes that one target only.
@@ -272,7 +272,9 @@
     def _is_suspect(self, request: ForwardRequest) -> bool:
         # A request that may crash targets runs on one at a time.
         try:
-            return self.owner.reports.check(request) is not Standing.CLEAR
+            return (
+                self.owner.reports.check(request) is not QuarantineState.CLEAR
+            )
         except RequestError:
             return True
 
--- a/packages/pomelobank-node/src/pomelobank_node/_frames.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_frames.py
@@ -16,7 +16,7 @@
     decode_values,
 )
 from pomelobank_schema.generated import peer
-from pomelobank_schema.packed_frames import encode_frame, open_frame
+from pomelobank_schema.packed_frames import encode_frame, unpack_frame
 
 _logger = logging.getLogger(__name__)
 
@@ -231,7 +231,7 @@
     def _decode(self, values: object) -> None:
         try:
             frame = decode_values(values, peer.KINDS)
-            self.frames.append(open_frame(frame, peer.KINDS))
+            self.frames.append(unpack_frame(frame, peer.KINDS))
         except SchemaError as error:
             if error.kind is not SchemaErrorKind.UNKNOWN_KIND:
                 raise
--- a/packages/pomelobank-node/src/pomelobank_node/_observations.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_observations.py
@@ -236,7 +236,7 @@
 
 
 def _target(node: ObservedNode) -> Readings:
-    owner, gate = node.owner, node.owner.gate
+    owner, gate = node.owner, node.owner.admission_queue
     admission = gate.admission
     yield listed.REQUESTS_IN_FLIGHT, lambda: owner.in_flight
     yield (
@@ -244,8 +244,8 @@
         lambda: owner.target.slots if owner.target else 0,
     )
     yield listed.TARGET_WAITING, lambda: admission.waiting
-    yield listed.TARGET_WAITS, lambda: gate.waits
-    yield listed.TARGET_WAITED, lambda: gate.waited_ms
+    yield listed.TARGET_WAITS, lambda: gate.wait_count
+    yield listed.TARGET_WAITED, lambda: gate.total_wait_ms
     yield listed.TARGET_LIMIT, lambda: admission.limit.current
     yield listed.TARGET_REFUSED, lambda: admission.rejected
     yield listed.TARGET_EXPIRED, lambda: admission.expired
--- a/packages/pomelobank-node/src/pomelobank_node/_operator.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_operator.py
@@ -262,7 +262,7 @@
 
 def _invalid(change_id: str, error: SchemaError) -> pb.ApplyReply:
     problem = pb.ChangeProblem(
-        kind=error.kind.value, object=error.where, message=error.message
+        kind=error.kind.value, object=error.field_path, message=error.message
     )
     return pb.ApplyReply(
         change_id=change_id, status=pb.CHANGE_REJECTED, problems=[problem]
--- a/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
@@ -11,8 +11,8 @@
     ErrorKind,
     ExchangeState,
     ExchangeTable,
-    FrameVerdict,
-    deadline_kind,
+    FrameDecision,
+    deadline_error_kind,
 )
 from pomelobank_node._bodies import (
     WINDOW_BYTES,
@@ -115,7 +115,7 @@
     closing: bool = False
 
     def __attrs_post_init__(self) -> None:
-        self.stream.on_written = self.table.written
+        self.stream.on_written = self.table.on_written
 
     async def forward(
         self, request: ForwardRequest, on_slot: SlotTaker | None = None
@@ -164,7 +164,7 @@
 
     def _abandon(self, request_id: int, kind: ErrorKind | None) -> None:
         call = self.calls.pop(request_id, None)
-        state = self.table.given_up(request_id)
+        state = self.table.cancel(request_id)
         if call is None or state is None:
             return
         if state is ExchangeState.QUEUED:
@@ -172,7 +172,7 @@
             self.stream.withdraw(request_id)
         else:
             self.stream.send(CancelRequest(request_id=request_id))
-        call.fail(kind or deadline_kind(state))
+        call.fail(kind or deadline_error_kind(state))
 
     async def run(self) -> None:
         """Gives out frames until the stream ends."""
@@ -185,20 +185,20 @@
                 extra={"peer": self.peer, "error": str(error)},
             )
         finally:
-            self.lost()
+            self.on_stream_lost()
             self.stream.abort()
 
-    def lost(self) -> None:
+    def on_stream_lost(self) -> None:
         """Ends every request because the stream broke."""
         self.closing = True
         calls, self.calls = self.calls, {}
-        for request_id, kind in self.table.lost():
+        for request_id, kind in self.table.on_stream_lost():
             calls[request_id].fail(kind)
 
     def settle(self, reply: ForwardReply) -> None:
         """Takes the reply of a request."""
         request_id = reply.request_id
-        verdict = self.table.replied(request_id, reply.more)
+        verdict = self.table.on_reply(request_id, reply.more)
         if not self._is_wanted(verdict):
             return
         call = self.calls[request_id]
@@ -213,7 +213,7 @@
 
     def _download(self, request_id: int) -> PartBuffer:
         def grant(size: int) -> None:
-            if self.table.granted(request_id, size):
+            if self.table.grant_credit(request_id, size):
                 self.stream.send(BodyCredit(request_id=request_id, bytes=size))
 
         grants = Grants(grant, WINDOW_BYTES)
@@ -222,7 +222,7 @@
     def chunk(self, frame: BodyChunk) -> None:
         """Takes a part of an answer."""
         request_id = frame.request_id
-        verdict = self.table.chunk(
+        verdict = self.table.on_chunk(
             request_id, len(frame.data), frame.more, frame.aborted
         )
         if not self._is_wanted(verdict):
@@ -241,7 +241,7 @@
 
     def credit(self, frame: BodyCredit) -> None:
         """Takes the peer's leave to send more of a request's body."""
-        if not self._is_wanted(self.table.credited(frame.request_id)):
+        if not self._is_wanted(self.table.on_credit(frame.request_id)):
             return
         call = self.calls[frame.request_id]
         rest = rest_of(call.request)
@@ -255,7 +255,7 @@
 
     def slot_offered(self, request_id: int) -> None:
         """Takes the owner's offer of a slot, or gives the request up there."""
-        if not self._is_wanted(self.table.slot_offered(request_id)):
+        if not self._is_wanted(self.table.on_slot_offer(request_id)):
             return
         on_slot = self.calls[request_id].on_slot
         if on_slot is not None and on_slot():
@@ -269,10 +269,10 @@
         for request_id in self.table.on_stream_closing(last_id):
             self.calls.pop(request_id).fail(ErrorKind.DRAINING)
 
-    def _is_wanted(self, verdict: FrameVerdict) -> bool:
-        if verdict is FrameVerdict.VIOLATION:
+    def _is_wanted(self, verdict: FrameDecision) -> bool:
+        if verdict is FrameDecision.VIOLATION:
             raise _violation()
-        return verdict is FrameVerdict.DELIVER
+        return verdict is FrameDecision.DELIVER
 
 
 def _violation() -> SchemaError:
--- a/packages/pomelobank-node/src/pomelobank_node/_owner.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_owner.py
@@ -8,19 +8,19 @@
 import attrs
 
 from pomelobank_core import (
+    AdmissionRequest,
     Clock,
     ErrorKind,
-    LastRequests,
-    Standing,
-    Ticket,
+    QuarantineState,
+    ShutdownAdmission,
     TrafficClass,
     WorkResult,
 )
+from pomelobank_node._admission_queue import AdmissionQueue, new_admission
 from pomelobank_node._bodies import when_ended, whole_request
 from pomelobank_node._crash_reports import CrashReports
 from pomelobank_node._crash_watch import CrashWatch
 from pomelobank_node._dialect import Dialect
-from pomelobank_node._gate import Gate, new_admission
 from pomelobank_node._log_budget import LogBudget
 from pomelobank_node._logging import request_id
 from pomelobank_node._requests import (
@@ -88,11 +88,11 @@
         dialect: Names of the headers that the target understands.
         target: The target, None before it announced itself.
         pool: Connections to it.
-        gate: Where requests wait for a slot.
+        admission_queue: Where requests wait for a slot.
         watch: Notices crashes of the target.
         lines: Bounds the lines that are logged.
         draining: Set when no new request is taken.
-        last_requests: Refuses requests that may outlast a stopping node.
+        shutdown_admission: Refuses requests that may outlast a stopping node.
     """
 
     settings: RequestSettings
@@ -101,31 +101,33 @@
     dialect: Dialect = attrs.field(factory=Dialect)
     target: Target | None = None
     pool: UpstreamPool | None = None
-    gate: Gate = attrs.field()
+    admission_queue: AdmissionQueue = attrs.field()
     watch: CrashWatch = attrs.field()
     lines: LogBudget = attrs.field(factory=LogBudget)
     draining: bool = False
-    last_requests: LastRequests = attrs.field(factory=LastRequests)
+    shutdown_admission: ShutdownAdmission = attrs.field(
+        factory=ShutdownAdmission
+    )
 
     @watch.default
     def _new_watch(self) -> CrashWatch:
         return CrashWatch(self.reports)
 
-    @gate.default
-    def _new_gate(self) -> Gate:
-        return Gate(new_admission(self.settings), self.clock)
+    @admission_queue.default
+    def _new_gate(self) -> AdmissionQueue:
+        return AdmissionQueue(new_admission(self.settings), self.clock)
 
     @property
     def in_flight(self) -> int:
         """Requests that are at the target."""
-        return self.gate.admission.in_flight
+        return self.admission_queue.admission.in_flight
 
     def set_target(self, target: Target) -> None:
         """Takes an announcement of the target."""
         if target == self.target:
             return
         known, self.target = self.target, target
-        self.gate.set_slots(target.slots)
+        self.admission_queue.set_slots(target.slots)
         if known is None or _start_of(known) != _start_of(target):
             self._connect(target)
 
@@ -136,7 +138,7 @@
         self.pool = UpstreamPool(
             host, port, self.settings.max_body_bytes, self.dialect.open_ends
         )
-        self.gate.admission.limit.reset()
+        self.admission_queue.admission.limit.reset()
 
     async def serve(
         self, request: ForwardRequest, offer_slot: SlotOfferer | None = None
@@ -166,7 +168,7 @@
     ) -> None:
         if not self.lines.may_tell_failure(self.clock.now_ms()):
             return
-        admission = self.gate.admission
+        admission = self.admission_queue.admission
         _logger.info(
             "target.not_served",
             extra={
@@ -179,7 +181,9 @@
                 "at_target": admission.in_flight,
                 "waiting": admission.waiting,
                 "slots": admission.limit.current,
-                "usual_ms": round(self.gate.expected_service_ms(request.route)),
+                "usual_ms": round(
+                    self.admission_queue.expected_service_ms(request.route)
+                ),
                 "instance": self.target.instance if self.target else "",
                 "lines_dropped": self.lines.take_dropped(),
             },
@@ -197,24 +201,24 @@
         if request.remaining_ms <= 0:
             raise RequestError(ErrorKind.DEADLINE_NOT_RUN)
         now_ms = self.clock.now_ms()
-        if not self.last_requests.takes(request.remaining_ms, now_ms):
+        if not self.shutdown_admission.accepts(request.remaining_ms, now_ms):
             raise RequestError(ErrorKind.DRAINING)
         standing = self.reports.check(request)
-        ticket = Ticket(
+        ticket = AdmissionRequest(
             _traffic_class(request),
             request.route,
             deadline_ms=now_ms + request.remaining_ms,
-            isolated=standing is Standing.SUSPECT,
+            isolated=standing is QuarantineState.SUSPECT,
             priority=request.priority,
             objective_at_ms=now_ms + (request.aim_ms or request.remaining_ms),
             max_wait_ms=request.max_wait_ms or math.inf,
         )
-        await self.gate.enter(ticket)
+        await self.admission_queue.acquire(ticket)
         return await self._admitted(ticket, self.pool, request, offer_slot)
 
     async def _admitted(
         self,
-        ticket: Ticket,
+        ticket: AdmissionRequest,
         pool: UpstreamPool,
         request: ForwardRequest,
         offer_slot: SlotOfferer | None,
@@ -239,9 +243,11 @@
         except BaseException as error:
             if isinstance(error, RequestError):
                 result = _RESULTS.get(error.kind, result)
-            self.gate.leave(ticket, result)
+            self.admission_queue.release(ticket, result)
             raise
-        return when_ended(reply, lambda: self.gate.leave(ticket, result))
+        return when_ended(
+            reply, lambda: self.admission_queue.release(ticket, result)
+        )
 
     async def _run_watched(
         self, pool: UpstreamPool, request: ForwardRequest
@@ -251,7 +257,7 @@
                 reply = await call_target(
                     pool,
                     request,
-                    self.gate.outstanding,
+                    self.admission_queue.outstanding,
                     self.dialect,
                     self.target.instance if self.target else "",
                 )
@@ -262,18 +268,18 @@
         self.reports.ran(request)
         return reply
 
-    def _is_shed(self, ticket: Ticket, reply: ForwardReply) -> bool:
+    def _is_shed(self, ticket: AdmissionRequest, reply: ForwardReply) -> bool:
         if self.dialect.not_run or reply.status not in _SHED_STATUSES:
             return False
         assert ticket.started_ms is not None
         took_ms = self.clock.now_ms() - ticket.started_ms
-        usual_ms = self.gate.expected_service_ms(ticket.route)
+        usual_ms = self.admission_queue.expected_service_ms(ticket.route)
         return took_ms <= max(_QUICK_MS, usual_ms / 2)
 
     def reject_new_requests(self) -> None:
         """Takes no new request; what still waits for a slot goes elsewhere."""
         self.draining = True
-        self.gate.reject_waiting()
+        self.admission_queue.reject_waiting()
 
     async def drain(self, timeout_ms: int) -> None:
         """Takes no new request and waits for those in flight.
@@ -284,7 +290,7 @@
         self.draining = True
         try:
             async with asyncio.timeout(timeout_ms / _MS_PER_S):
-                await self.gate.idle.wait()
+                await self.admission_queue.idle.wait()
         except TimeoutError:
             _logger.error("drain.timeout", extra={"in_flight": self.in_flight})
         if self.pool is not None:
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
@@ -177,7 +177,7 @@
         """Gives up the stream; what waits for it ends as lost."""
         current, self.current = self.current, None
         if current is not None:
-            current.lost()
+            current.on_stream_lost()
             current.stream.abort()
 
     def is_idle(self, since_s: float) -> bool:
--- a/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
@@ -172,13 +172,13 @@
             self.forwarder,
             self.clock,
             exact_weights=True,
-            last_requests=self.owner.last_requests,
+            shutdown_admission=self.owner.shutdown_admission,
         )
         self.stop_turn = StopTurn(
             self.membership,
-            self.owner.gate,
+            self.owner.admission_queue,
             self.clock,
-            self.dispatcher.last_requests,
+            self.dispatcher.shutdown_admission,
         )
         self.ingress = Ingress(
             self.dispatcher, self.clock, dialect, settings.target.upstream
@@ -305,7 +305,7 @@
         closed_ms = self.clock.now_ms()
         await self.target.close()
         await self._sleep_until(max(begun_ms + routed_ms, closed_ms + news_ms))
-        self.dispatcher.last_requests.ends_at_ms = end_ms
+        self.dispatcher.shutdown_admission.shutdown_at_ms = end_ms
         self.http.drain()
         await self._wait_for_requests(end_ms)
         _logger.info("node.drained", extra=self._under_way())
@@ -349,7 +349,10 @@
 
     async def _wait_for_requests(self, until_ms: int) -> None:
         while self.clock.now_ms() < until_ms:
-            if not self.http.under_way and not self.owner.gate.outstanding:
+            if (
+                not self.http.under_way
+                and not self.owner.admission_queue.outstanding
+            ):
                 return
             await asyncio.sleep(0.02)
 
--- a/packages/pomelobank-node/src/pomelobank_node/_stop_turn.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_stop_turn.py
@@ -4,8 +4,13 @@
 
 import attrs
 
-from pomelobank_core import WORK_RESERVE_FACTOR, Clock, LastRequests, StopOrder
-from pomelobank_node._gate import Gate
+from pomelobank_core import (
+    WORK_RESERVE_FACTOR,
+    Clock,
+    ShutdownAdmission,
+    StopOrder,
+)
+from pomelobank_node._admission_queue import AdmissionQueue
 from pomelobank_node._membership import Membership
 
 # Time for the membership updates of peers that stop at the same time.
@@ -26,9 +31,9 @@
     """
 
     membership: Membership
-    gate: Gate
+    gate: AdmissionQueue
     clock: Clock
-    last_requests: LastRequests
+    last_requests: ShutdownAdmission
 
     async def wait(self, routed_at_ms: int, end_ms: int, news_ms: int) -> None:
         """Returns once the target may be closed.
@@ -53,5 +58,5 @@
             if now_ms >= latest_close_ms:
                 return
             if now_ms >= routed_at_ms:
-                self.last_requests.ends_at_ms = end_ms
+                self.last_requests.shutdown_at_ms = end_ms
             await asyncio.sleep(_POLL_S)
--- a/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
@@ -85,7 +85,7 @@
         await self.departures.opened.wait()
         if self._has_left(announcement):
             announcement = attrs.evolve(announcement, draining=True)
-        change = self.lease.take(announcement, self.clock.now_ms())
+        change = self.lease.on_announcement(announcement, self.clock.now_ms())
         if change is TargetChange.DRAINING:
             await self._tell_draining()
         elif change is TargetChange.RESTARTED:
@@ -93,7 +93,7 @@
             await self._cancel_refusing()
             self.owner.draining = False
             self._set_target(announcement, restarted=True)
-        elif change is TargetChange.TAKEN:
+        elif change is TargetChange.ACTIVATED:
             self._set_target(announcement, restarted=False)
 
     def _has_left(self, target: TargetAnnouncement) -> bool:
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_admin.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_admin.py
@@ -43,4 +43,4 @@
 ) -> None:
     with pytest.raises(SchemaError) as raised:
         parse_announcement(body)
-    assert (raised.value.kind.value, raised.value.where) == (kind, field)
+    assert (raised.value.kind.value, raised.value.field_path) == (kind, field)
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_crash_containment.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_crash_containment.py
@@ -6,7 +6,7 @@
 import attrs
 import pytest
 
-from pomelobank_core import MemberTable, Standing
+from pomelobank_core import MemberTable, QuarantineState
 from pomelobank_node._clock import SystemClock
 from pomelobank_node._crash_reports import CrashReports
 from pomelobank_node._owner import Owner, Target
@@ -143,7 +143,7 @@
     pair.targets[1].release.set()
     assert (await pair.send(1, "/hold")).status == 200
     tables = [owner.reports.table for owner in pair.owners]
-    assert [table.acquitted for table in tables] == [1, 1]
+    assert [table.cleared for table in tables] == [1, 1]
     assert [len(table.entries) for table in tables] == [1, 1]
 
 
@@ -156,19 +156,19 @@
         route="stock", method="GET", target=b"/suspect", upstream="stock"
     )
     reports.target_lost([suspect])
-    assert reports.check(suspect) is Standing.SUSPECT
+    assert reports.check(suspect) is QuarantineState.SUSPECT
     tasks = [
         asyncio.create_task(pair.send(0, path))
         for path in ("/suspect", "/1", "/2")
     ]
     # Each task runs up to its place in the queue.
     await asyncio.sleep(0)
-    assert pair.owners[0].gate.admission.waiting == 3
+    assert pair.owners[0].admission_queue.admission.waiting == 3
     assert pair.targets[0].busy == 1
     pair.targets[0].release.set()
     assert (await held).status == 200
     assert [(await task).status for task in tasks] == [200, 200, 200]
-    assert reports.check(suspect) is Standing.CLEAR
+    assert reports.check(suspect) is QuarantineState.CLEAR
 
 
 async def test_one_broken_connection_is_no_crash(pair: Pair) -> None:
--- a/packages/pomelobank-schema/src/pomelobank_schema/_documents.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/_documents.py
@@ -83,7 +83,7 @@
         return model(**values)
     except SchemaError as error:
         raise SchemaError(
-            error.kind, _join(where, error.where), error.message
+            error.kind, _join(where, error.field_path), error.message
         ) from None
 
 
--- a/packages/pomelobank-schema/src/pomelobank_schema/_errors.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/_errors.py
@@ -31,13 +31,17 @@
 
     Attributes:
         kind: Why it was refused.
-        where: Path of the field, such as "membership.period_ms".
+        field_path: Path of the field, such as "membership.period_ms".
         message: What is wrong and what is allowed.
     """
 
     kind: SchemaErrorKind
-    where: str
+    field_path: str
     message: str
 
     def __str__(self) -> str:
-        return f"{self.where}: {self.message}" if self.where else self.message
+        return (
+            f"{self.field_path}: {self.message}"
+            if self.field_path
+            else self.message
+        )
--- a/packages/pomelobank-schema/src/pomelobank_schema/_wire.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/_wire.py
@@ -28,7 +28,7 @@
 ValueT = TypeVar("ValueT")
 
 
-def take(
+def read_field(
     values: Sequence[object],
     index: int,
     kind: type[ValueT],
@@ -57,28 +57,30 @@
     )
 
 
-def take_many(
+def read_repeated(
     values: Sequence[object], index: int, kind: type[ValueT], name: str
 ) -> tuple[ValueT, ...]:
     """Returns a repeated field of plain values."""
-    items = take(values, index, list, [], name)
+    items = read_field(values, index, list, [], name)
     for item in items:
         if item.__class__ is not kind:
             raise _wrong_type(kind, item, name)
     return tuple(items)
 
 
-def take_messages(
+def read_repeated_messages(
     values: Sequence[object],
     index: int,
     build: Callable[[Sequence[object]], MessageT],
     name: str,
 ) -> tuple[MessageT, ...]:
     """Returns a repeated field of messages."""
-    return tuple([build(item) for item in take_many(values, index, list, name)])
+    return tuple(
+        [build(item) for item in read_repeated(values, index, list, name)]
+    )
 
 
-def take_message(
+def read_message(
     values: Sequence[object],
     index: int,
     build: Callable[[Sequence[object]], MessageT],
@@ -87,7 +89,7 @@
     """Returns a message field, None where the sender set none."""
     if index >= len(values) or values[index] is None:
         return None
-    return build(take(values, index, list, [], name))
+    return build(read_field(values, index, list, [], name))
 
 
 def encode(message: WireMessage) -> bytes:
--- a/packages/pomelobank-schema/src/pomelobank_schema/generate.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/generate.py
@@ -86,7 +86,7 @@
 
 
 @attrs.frozen
-class Limits:
+class FieldSpec:
     """What the schema says of a field beside its type.
 
     Attributes:
@@ -104,7 +104,7 @@
     required: bool
 
 
-def limits_of(field: descriptor_pb2.FieldDescriptorProto) -> Limits:
+def field_spec(field: descriptor_pb2.FieldDescriptorProto) -> FieldSpec:
     """Returns what the schema says of a field beside its type."""
     options = _options()
     extensions = field.options.Extensions
@@ -114,7 +114,7 @@
         allowed = f"{low} to {high}"
     if extensions[options.ip_port]:
         allowed = "IP:PORT"
-    return Limits(
+    return FieldSpec(
         unit=extensions[options.unit],
         default=extensions[options.default_value],
         allowed=allowed,
@@ -340,7 +340,7 @@
     repeated = field.label == _FIELD.LABEL_REPEATED
     if field.type == _FIELD.TYPE_MESSAGE:
         base = field.type_name.rsplit(".", 1)[-1]
-        function = "take_messages" if repeated else "take_message"
+        function = "read_repeated_messages" if repeated else "read_message"
         arguments = f'values, {index}, {base}.from_wire, "{field.name}"'
         source = f"_wire.{function}({arguments})"
         if repeated or field.proto3_optional:
@@ -348,10 +348,10 @@
         return f"cast({base!r}, {source})"
     base, empty = _PLAIN_TYPES[field.type]
     if repeated:
-        return f'_wire.take_many(values, {index}, {base}, "{field.name}")'
+        return f'_wire.read_repeated(values, {index}, {base}, "{field.name}")'
     default = _default(field) or empty
     arguments = f'values, {index}, {base}, {default}, "{field.name}"'
-    return f"_wire.take({arguments})"
+    return f"_wire.read_field({arguments})"
 
 
 if __name__ == "__main__":
--- a/packages/pomelobank-schema/src/pomelobank_schema/packed_frames.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/packed_frames.py
@@ -38,7 +38,7 @@
     return min(packed, data, key=len)
 
 
-def open_frame(
+def unpack_frame(
     frame: WireMessage, kinds: dict[int, type[WireMessage]]
 ) -> WireMessage:
     """Returns the frame in a packed one, any other as it is.
--- a/packages/pomelobank-schema/src/pomelobank_schema/reference.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/reference.py
@@ -56,7 +56,7 @@
     field: descriptor_pb2.FieldDescriptorProto,
     key: str,
 ) -> str:
-    limits = generate.limits_of(field)
+    limits = generate.field_spec(field)
     text = schema.comment(message, field)
     if limits.reason:
         text = f"{text} {limits.reason}"
--- a/packages/pomelobank-schema/src/pomelobank_schema/tests/test_packed_frames.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/tests/test_packed_frames.py
@@ -11,7 +11,7 @@
     MemberEntry,
     PackedFrame,
 )
-from pomelobank_schema.packed_frames import encode_frame, open_frame
+from pomelobank_schema.packed_frames import encode_frame, unpack_frame
 
 
 def gossip(count: int) -> Gossip:
@@ -39,7 +39,7 @@
 )
 def test_a_frame_comes_as_it_was_sent(frame: Gossip | BodyChunk) -> None:
     received = decode(encode_frame(frame), peer.KINDS)
-    assert open_frame(received, peer.KINDS) == frame
+    assert unpack_frame(received, peer.KINDS) == frame
 
 
 def test_a_table_takes_a_third_of_its_bytes() -> None:
@@ -61,7 +61,7 @@
 def test_what_cannot_be_unpacked_is_refused(data: bytes, message: str) -> None:
     """Guards against a broken peer that fills the memory."""
     with pytest.raises(SchemaError, match=message):
-        open_frame(PackedFrame(data=data), peer.KINDS)
+        unpack_frame(PackedFrame(data=data), peer.KINDS)
 
 
 def test_a_packed_frame_in_a_packed_one_is_refused() -> None:
@@ -71,7 +71,7 @@
     nested = encode_frame(inner)
     packed = PackedFrame(data=pack(nested))
     with pytest.raises(SchemaError, match="another one"):
-        open_frame(packed, peer.KINDS)
+        unpack_frame(packed, peer.KINDS)
 
 
 def pack(data: bytes) -> bytes:
--- a/packages/pomelobank-testing/src/pomelobank_testing/_member_fleet.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_member_fleet.py
@@ -12,7 +12,7 @@
 from pomelobank_schema.generated import peer
 from pomelobank_schema.generated.peer import MemberEntry
 from pomelobank_schema.generated.settings import MembershipSettings
-from pomelobank_schema.packed_frames import encode_frame, open_frame
+from pomelobank_schema.packed_frames import encode_frame, unpack_frame
 
 STEP_MS = 100
 
@@ -143,7 +143,7 @@
             return
         self.frames += 1
         frame = decode(envelope.data, peer.KINDS)
-        frame = open_frame(frame, peer.KINDS)
+        frame = unpack_frame(frame, peer.KINDS)
         actions = take_member_frame(frame, swim, self.now_ms)
         self.act(envelope.destination, envelope.source, actions)
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
@@ -6,6 +6,8 @@
 import attrs
 
 from pomelobank_core import (
+    AdmissionDecision,
+    AdmissionRequest,
     BriefWork,
     CallerTimeouts,
     Candidates,
@@ -13,9 +15,7 @@
     Rank,
     RankLoad,
     SlotLimit,
-    Ticket,
     TwoChoices,
-    Verdict,
 )
 from pomelobank_node._forwarder import Forwarder
 from pomelobank_node._owner import Owner
@@ -55,12 +55,14 @@
 
 
 class _LateMayWait(DeadlineAdmission):
-    def _expected_to_give_up(self, now_ms: float) -> list[Ticket]:
+    def _expected_to_time_out(self, now_ms: float) -> list[AdmissionRequest]:
         return [
-            ticket for ticket in self.queue if now_ms >= self.give_up_ms(ticket)
+            ticket
+            for ticket in self.queue
+            if now_ms >= self.wait_deadline_ms(ticket)
         ]
 
-    def _excess_past_objective(self, now_ms: float) -> list[Ticket]:
+    def _excess_past_objective(self, now_ms: float) -> list[AdmissionRequest]:
         return []
 
 
@@ -72,32 +74,34 @@
 
 
 class _NothingIsBrief(BriefWork):
-    def includes(self, route: str, slots: int, now_ms: float) -> bool:
+    def is_brief(self, route: str, slots: int, now_ms: float) -> bool:
         return False
 
 
 class _Unranked(DeadlineAdmission):
-    def offer(self, ticket: Ticket, now_ms: float) -> Verdict:
+    def offer(
+        self, ticket: AdmissionRequest, now_ms: float
+    ) -> AdmissionDecision:
         ticket.priority = 0
         return super().offer(ticket, now_ms)
 
 
 def _without_overtaking(node: ModelNode) -> None:
-    admission = node.owner.gate.admission
+    admission = node.owner.admission_queue.admission
     assert isinstance(admission, DeadlineAdmission)
-    admission.taken = _NobodyOvertakes()
+    admission.rank_load = _NobodyOvertakes()
 
 
 def _admit_by(node: ModelNode, kind: type[DeadlineAdmission]) -> None:
-    limit = node.owner.gate.admission.limit
+    limit = node.owner.admission_queue.admission.limit
     assert isinstance(limit, SlotLimit)
-    node.owner.gate.admission = kind(limit)
+    node.owner.admission_queue.admission = kind(limit)
 
 
 def _without_brief_first(node: ModelNode) -> None:
-    admission = node.owner.gate.admission
+    admission = node.owner.admission_queue.admission
     assert isinstance(admission, DeadlineAdmission)
-    admission.brief = _NothingIsBrief(admission.service_times)
+    admission.brief_work = _NothingIsBrief(admission.service_times)
 
 
 def _without_late_binding(node: ModelNode) -> None:
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
@@ -225,7 +225,7 @@
         self.lines[own.node] = _Line(self.pattern.line_bytes_per_s)
         for name in self.without:
             MECHANISMS[name](node)
-        admission = owner.gate.admission
+        admission = owner.admission_queue.admission
         assert isinstance(admission, DeadlineAdmission)
         # Left to its own, it would spread the returns of refused callers
         # differently in each run of the same seed.
