--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -33,7 +33,7 @@
     with_rest,
 )
 from pomelobank_node._crash_reports import request_fingerprint
-from pomelobank_node._dialect import Dialect
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._journey import (
     HEDGE_MAX_WAIT_MS,
     OFFERS,
@@ -65,7 +65,7 @@
 
 # Marks a request that is part of a retry. A target that passes it on with the
 # calls it makes keeps the nodes behind it from retrying those as well.
-RETRY_HEADER = Dialect().retry
+RETRY_HEADER = HttpConventions().retry
 _MS_PER_S = 1000
 # Bodies from this size on are sent to another data centre only once the target
 # has a slot. Smaller ones are no longer than the frames that ask for them.
--- a/packages/pomelobank-node/src/pomelobank_node/_http_protocol.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_http_protocol.py
@@ -10,7 +10,7 @@
 )
 
 from pomelobank_core import ErrorKind
-from pomelobank_node._dialect import Dialect
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._requests import RequestError
 from pomelobank_node.callers import error_response
 from pomelobank_node.callers._messages import encode_response
@@ -146,5 +146,5 @@
 
 def _bad_request() -> bytes:
     error = RequestError(ErrorKind.BAD_REQUEST)
-    answer = error_response(error, Dialect(), closes=True)
+    answer = error_response(error, HttpConventions(), closes=True)
     return encode_response(answer, head_only=False, closes=True)
--- a/packages/pomelobank-node/src/pomelobank_node/_http_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_http_server.py
@@ -32,13 +32,14 @@
         listen: Address to listen on; port 0 takes a free one.
         application: The ASGI application.
         address: Address that is really used, once it listens.
-        cancels: Whether a request is cancelled when its caller has gone.
+        cancel_on_disconnect: Whether a request is cancelled when its caller has
+            gone.
     """
 
     listen: str
     application: Any
     address: str = ""
-    cancels: bool = False
+    cancel_on_disconnect: bool = False
     server: _Server | None = None
     task: asyncio.Task[None] | None = None
 
@@ -50,7 +51,9 @@
             host=host,
             port=port,
             loop="asyncio",
-            http=CancellingHttpProtocol if self.cancels else HttpProtocol,
+            http=CancellingHttpProtocol
+            if self.cancel_on_disconnect
+            else HttpProtocol,
             ws="none",
             lifespan="off",
             access_log=False,
--- a/packages/pomelobank-node/src/pomelobank_node/_observations.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_observations.py
@@ -262,7 +262,7 @@
     yield listed.LATENCY_SUM, lambda: ingress.latency.sum_ms
     yield listed.HEDGED, lambda: forwarder.hedged
     yield listed.HEDGES_WON, lambda: forwarder.hedges_won
-    yield listed.LINES_DROPPED, lambda: ingress.lines.dropped_total
+    yield listed.LINES_DROPPED, lambda: ingress.log_limiter.dropped_total
     yield listed.TURNED_AWAY, lambda: node.forwarder.rejected
     yield (
         listed.RETRIES,
--- a/packages/pomelobank-node/src/pomelobank_node/_owner.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_owner.py
@@ -20,7 +20,7 @@
 from pomelobank_node._bodies import when_ended, whole_request
 from pomelobank_node._crash_reports import CrashReports
 from pomelobank_node._crash_watch import CrashWatch
-from pomelobank_node._dialect import Dialect
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._log_budget import LogBudget
 from pomelobank_node._logging import request_id
 from pomelobank_node._requests import (
@@ -85,12 +85,12 @@
         settings: Limits of requests.
         clock: Tells the time.
         reports: Knows the requests that crash targets.
-        dialect: Names of the headers that the target understands.
+        http_conventions: Names of the headers that the target understands.
         target: The target, None before it announced itself.
         pool: Connections to it.
         admission_queue: Where requests wait for a slot.
         watch: Notices crashes of the target.
-        lines: Bounds the lines that are logged.
+        log_limiter: Bounds the lines that are logged.
         draining: Set when no new request is taken.
         shutdown_admission: Refuses requests that may outlast a stopping node.
     """
@@ -98,12 +98,12 @@
     settings: RequestSettings
     clock: Clock
     reports: CrashReports
-    dialect: Dialect = attrs.field(factory=Dialect)
+    http_conventions: HttpConventions = attrs.field(factory=HttpConventions)
     target: Target | None = None
     pool: UpstreamPool | None = None
     admission_queue: AdmissionQueue = attrs.field()
     watch: CrashWatch = attrs.field()
-    lines: LogBudget = attrs.field(factory=LogBudget)
+    log_limiter: LogBudget = attrs.field(factory=LogBudget)
     draining: bool = False
     shutdown_admission: ShutdownAdmission = attrs.field(
         factory=ShutdownAdmission
@@ -136,7 +136,10 @@
             self.pool.close()
         host, port = parse_address(target.address)
         self.pool = UpstreamPool(
-            host, port, self.settings.max_body_bytes, self.dialect.open_ends
+            host,
+            port,
+            self.settings.max_body_bytes,
+            self.http_conventions.allows_close_delimited,
         )
         self.admission_queue.admission.limit.reset()
 
@@ -166,7 +169,7 @@
     def _log_failure(
         self, request: ForwardRequest, error: RequestError
     ) -> None:
-        if not self.lines.may_tell_failure(self.clock.now_ms()):
+        if not self.log_limiter.may_tell_failure(self.clock.now_ms()):
             return
         admission = self.admission_queue.admission
         _logger.info(
@@ -185,7 +188,7 @@
                     self.admission_queue.expected_service_ms(request.route)
                 ),
                 "instance": self.target.instance if self.target else "",
-                "lines_dropped": self.lines.take_dropped(),
+                "lines_dropped": self.log_limiter.take_dropped(),
             },
         )
 
@@ -258,7 +261,7 @@
                     pool,
                     request,
                     self.admission_queue.outstanding,
-                    self.dialect,
+                    self.http_conventions,
                     self.target.instance if self.target else "",
                 )
             except RequestError as error:
@@ -269,7 +272,7 @@
         return reply
 
     def _is_shed(self, ticket: AdmissionRequest, reply: ForwardReply) -> bool:
-        if self.dialect.not_run or reply.status not in _SHED_STATUSES:
+        if self.http_conventions.not_run or reply.status not in _SHED_STATUSES:
             return False
         assert ticket.started_ms is not None
         took_ms = self.clock.now_ms() - ticket.started_ms
--- a/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
@@ -25,9 +25,9 @@
 from pomelobank_node._component import Component
 from pomelobank_node._crash_reports import CrashReports
 from pomelobank_node._departure_log import DepartureLog
-from pomelobank_node._dialect import Dialect
 from pomelobank_node._dispatcher import Dispatcher
 from pomelobank_node._forwarder import Forwarder, new_load_balancer
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._identity import Identity
 from pomelobank_node._log import Log
 from pomelobank_node._log_output import BoundedOutput
@@ -79,7 +79,7 @@
     """What differs from platform to platform.
 
     Attributes:
-        dialect: Names of headers.
+        http_conventions: Names of headers.
         log: Where first contacts are announced.
         source: Where configurations are published.
         decode: Reads a published configuration.
@@ -90,7 +90,7 @@
         listener: Socket already listening for callers; None to open one.
     """
 
-    dialect: Dialect
+    http_conventions: HttpConventions
     log: Log
     source: PublishedSource
     decode: Decoder
@@ -130,7 +130,10 @@
         )
         self.crash_reports = CrashReports(self.table, self.links, self.clock)
         self.owner = Owner(
-            settings.requests, self.clock, self.crash_reports, ports.dialect
+            settings.requests,
+            self.clock,
+            self.crash_reports,
+            ports.http_conventions,
         )
         self.membership = Membership(
             self.table,
@@ -152,7 +155,7 @@
         self._build_servers()
 
     def _build_request_path(self) -> None:
-        settings, dialect = self.settings, self.ports.dialect
+        settings, dialect = self.settings, self.ports.http_conventions
         self.forwarder = Forwarder(
             self.table,
             self.owner,
@@ -198,15 +201,15 @@
         self.http = CallerServer(
             listen.http,
             self.ingress,
-            ports.dialect,
-            sweeps=False,
+            ports.http_conventions,
+            auto_check_timeouts=False,
             listener=ports.listener,
         )
         self.ready = CallerServer(
-            listen.ready, ports.ready_page(self), sweeps=False
+            listen.ready, ports.ready_page(self), auto_check_timeouts=False
         )
         self.control = CallerServer(
-            listen.control, ports.control_page(self), sweeps=False
+            listen.control, ports.control_page(self), auto_check_timeouts=False
         )
         self.peers = PeerServer(
             listen.peer, self.owner, self.membership, self.feed, None
@@ -216,7 +219,7 @@
 
     def _sweep(self, _: int) -> None:
         for server in (self.http, self.ready, self.control):
-            server.sweep()
+            server.check_timeouts()
 
     async def serve_metrics(self, output: BoundedOutput) -> None:
         """Serves the metrics, where the settings name an address for them."""
@@ -339,7 +342,7 @@
     def _under_way(self) -> dict[str, int]:
         return {
             "connections": len(self.http.connections),
-            "requests": self.http.under_way,
+            "requests": self.http.in_flight,
             "at_target": self.owner.in_flight,
         }
 
@@ -350,7 +353,7 @@
     async def _wait_for_requests(self, until_ms: int) -> None:
         while self.clock.now_ms() < until_ms:
             if (
-                not self.http.under_way
+                not self.http.in_flight
                 and not self.owner.admission_queue.outstanding
             ):
                 return
--- a/packages/pomelobank-node/src/pomelobank_node/_target_call.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_call.py
@@ -4,7 +4,7 @@
 
 from pomelobank_core import ErrorKind
 from pomelobank_node._bodies import StreamedReply, rest_of
-from pomelobank_node._dialect import Dialect
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._http_messages import (
     CONTENT_LENGTH,
     content_length,
@@ -41,7 +41,7 @@
     pool: UpstreamPool,
     request: ForwardRequest,
     outstanding: int,
-    dialect: Dialect,
+    dialect: HttpConventions,
     instance: str = "",
 ) -> ForwardReply:
     """Runs a request on the target.
@@ -66,7 +66,7 @@
     rest = rest_of(request)
     more = rest is not None
     expected = None
-    if dialect.echoes_id:
+    if dialect.echoes_request_id:
         expected = ExpectedId(dialect.request_id, request.trace_id.encode())
     answer = await pool.request(
         encode_request(
@@ -83,7 +83,7 @@
 
 
 def _request_headers(
-    request: ForwardRequest, dialect: Dialect, instance: str
+    request: ForwardRequest, dialect: HttpConventions, instance: str
 ) -> list[tuple[bytes, bytes]]:
     headers = [(item.name, item.value) for item in request.headers]
     headers.append((dialect.request_id, request.trace_id.encode()))
@@ -93,7 +93,7 @@
     return headers
 
 
-def _check(answer: UpstreamResponse, dialect: Dialect) -> None:
+def _check(answer: UpstreamResponse, dialect: HttpConventions) -> None:
     kind = None
     if dialect.expected_instance and answer.status == _MISDIRECTED:
         kind = ErrorKind.TARGET_REPLACED
@@ -105,7 +105,7 @@
         proven = (
             find_header(answer.headers, dialect.response_marker) is not None
         )
-        named = not dialect.echoes_id or _has_id(answer, dialect)
+        named = not dialect.echoes_request_id or _has_id(answer, dialect)
         if not (proven and named):
             kind = ErrorKind.ANSWER_TRUNCATED
     if kind is not None:
@@ -114,7 +114,7 @@
         raise RequestError(kind)
 
 
-def _has_id(answer: UpstreamResponse, dialect: Dialect) -> bool:
+def _has_id(answer: UpstreamResponse, dialect: HttpConventions) -> bool:
     return find_header(answer.headers, dialect.request_id) is not None
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
@@ -37,9 +37,10 @@
         host: The target's IP number.
         port: The target's port.
         max_body_bytes: Largest answer that is taken, in bytes.
-        open_ends: Whether the end of the connection may be the end of an
-            answer that states no length. It cannot be told from a target that
-            stopped in the middle, so it is only for targets known to do so.
+        allows_close_delimited: Whether the end of the connection may be the end
+            of an answer that states no length. It cannot be told from a target
+            that stopped in the middle, so it is only for targets known to do
+            so.
         idle: Connections without a request, the one used last at the end.
         closed: Set once connections are not kept any more.
         known_loop: The event loop, once a request has come; to ask for it
@@ -51,7 +52,7 @@
     host: str
     port: int
     max_body_bytes: int
-    open_ends: bool = False
+    allows_close_delimited: bool = False
     idle: deque[UpstreamConnection] = attrs.field(factory=deque)
     closed: bool = False
     known_loop: asyncio.AbstractEventLoop | None = None
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
@@ -65,11 +65,12 @@
 
     Attributes:
         max_body_bytes: Largest answer that is taken.
-        open_ends: Whether the end of the connection may end an answer.
+        allows_close_delimited: Whether the end of the connection may end an
+            answer.
     """
 
     max_body_bytes: int
-    open_ends: bool
+    allows_close_delimited: bool
 
     def give_back(self, connection: UpstreamConnection) -> None:
         """Takes a connection whose request has ended."""
@@ -281,7 +282,7 @@
         return value is not None and value != expected.value
 
     def _has_open_end(self) -> bool:
-        if not self.pool.open_ends:
+        if not self.pool.allows_close_delimited:
             return False
         if self.parser.get_status_code() in NO_BODY_STATUSES:
             return False
--- a/packages/pomelobank-node/src/pomelobank_node/callers/__init__.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/__init__.py
@@ -1,6 +1,6 @@
 """Callers' requests: from the bytes of a connection to a route and back."""
 
-from pomelobank_node._dialect import Dialect
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node.callers._connection import HttpConnection
 from pomelobank_node.callers._error_responses import error_response
 from pomelobank_node.callers._ingress import Ingress
@@ -14,9 +14,9 @@
 
 __all__ = [
     "CallerServer",
-    "Dialect",
     "Handler",
     "HttpConnection",
+    "HttpConventions",
     "HttpLimits",
     "HttpRequest",
     "HttpResponse",
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
@@ -17,7 +17,7 @@
 
 from pomelobank_core import ErrorKind
 from pomelobank_node._bodies import INLINE_BYTES, WINDOW_BYTES, PartBuffer
-from pomelobank_node._dialect import Dialect
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._http_messages import (
     LAST_CHUNK,
     content_length,
@@ -48,19 +48,19 @@
 
     Attributes:
         handler: Answers each request.
-        dialect: How errors are told.
+        http_conventions: How errors are told.
         limits: What callers may send.
         draining: Whether connections end after the answers under way.
         connections: Open connections.
     """
 
     handler: Handler
-    dialect: Dialect
+    http_conventions: HttpConventions
     limits: HttpLimits
     draining: bool
     connections: set[HttpConnection]
 
-    def opened(self, connection: HttpConnection) -> bool:
+    def accept(self, connection: HttpConnection) -> bool:
         """Takes a new connection; returns whether there is room for it."""
 
 
@@ -108,7 +108,7 @@
         self.transport = transport
         self.loop = asyncio.get_running_loop()
         self.seen_s = self.loop.time()
-        if not self.server.opened(self):
+        if not self.server.accept(self):
             transport.abort()
 
     def connection_lost(self, _: Exception | None) -> None:
@@ -123,7 +123,7 @@
         if self.streaming is not None:
             self.streaming.cancel()
         for exchange in self.exchanges:
-            exchange.abandon()
+            exchange.cancel()
         self.exchanges.clear()
 
     def pause_writing(self) -> None:
@@ -258,7 +258,7 @@
     def _end_with(self, exchange: Exchange, kind: ErrorKind) -> None:
         error = RequestError(kind)
         exchange.response = error_response(
-            error, self.server.dialect, closes=True
+            error, self.server.http_conventions, closes=True
         )
         self.ended = True
         self.head_since_s = None
@@ -309,7 +309,9 @@
         except Exception:
             _logger.exception("request.failed")
             error = RequestError(ErrorKind.INTERNAL)
-            answer = error_response(error, self.server.dialect, closes=True)
+            answer = error_response(
+                error, self.server.http_conventions, closes=True
+            )
         exchange.response = answer
         if exchange.upload is not None and not exchange.upload.ended:
             # The rest of the body is still to come, or never will. Bytes of it
@@ -356,7 +358,7 @@
     def _close(self) -> None:
         self.ended = True
         for exchange in self.exchanges:
-            exchange.abandon()
+            exchange.cancel()
         self.exchanges.clear()
         if self.transport is not None:
             self.transport.close()
@@ -415,16 +417,16 @@
         if silent and self.reading is not None and not self.ended:
             self._reject(ErrorKind.HEAD_TIMEOUT)
         elif silent:
-            self.end_if_idle()
+            self.close_if_idle()
 
-    def end_if_idle(self) -> None:
+    def close_if_idle(self) -> None:
         """Closes the connection unless a request is under way or coming."""
         idle = not self.exchanges and self.head_since_s is None
         if idle and self.transport is not None:
             self.ended = True
             self.transport.close()
 
-    def abandon_pending(self) -> None:
+    def fail_pending(self) -> None:
         """Ends what is under way, so that answers behind it get out.
 
         Answers keep the order of their requests; one that is ready would
@@ -433,8 +435,10 @@
         error = RequestError(ErrorKind.STOPPED_UNKNOWN)
         for exchange in self.exchanges:
             if exchange.response is None:
-                exchange.abandon()
-                exchange.response = error_response(error, self.server.dialect)
+                exchange.cancel()
+                exchange.response = error_response(
+                    error, self.server.http_conventions
+                )
                 exchange.keep_alive = exchange is not self.exchanges[-1]
         self.ended = True
         self._flush()
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_error_responses.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_error_responses.py
@@ -3,7 +3,7 @@
 import json
 
 from pomelobank_core import ERROR_RESPONSES
-from pomelobank_node._dialect import Dialect
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._http_messages import ERROR_HEADER, RUN_HEADER
 from pomelobank_node._requests import RequestError
 from pomelobank_node.callers._messages import HttpResponse
@@ -12,7 +12,7 @@
 
 
 def error_response(
-    error: RequestError, dialect: Dialect, closes: bool = False
+    error: RequestError, dialect: HttpConventions, closes: bool = False
 ) -> HttpResponse:
     """Returns what a caller is told of an error.
 
@@ -42,7 +42,7 @@
     return HttpResponse(answer.status, headers, body, closes=closes)
 
 
-def _seconds(time_ms: int, dialect: Dialect) -> bytes:
+def _seconds(time_ms: int, dialect: HttpConventions) -> bytes:
     if dialect.fractional_retry_after:
         return b"%.3f" % (time_ms / _MS_PER_S)
     return b"%d" % -(-time_ms // _MS_PER_S)
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_exchange.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_exchange.py
@@ -45,7 +45,7 @@
             self.upload,
         )
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """Gives the request up: its caller has gone, or will not be told."""
         if self.task is not None:
             self.task.cancel()
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
@@ -10,8 +10,8 @@
 
 from pomelobank_core import Clock, ErrorKind
 from pomelobank_node._bodies import KEYED_BYTES, BodySource, rest_of
-from pomelobank_node._dialect import Dialect
 from pomelobank_node._dispatcher import CallerRequest, Dispatcher
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._http_messages import (
     CONTENT_LENGTH,
     NO_BODY_STATUSES,
@@ -76,21 +76,21 @@
     Attributes:
         dispatcher: Takes requests to targets.
         clock: Tells the time.
-        dialect: Names of the headers.
+        http_conventions: Names of the headers.
         origin: Upstream of the instance that requests begin on.
         outcomes: How many requests ended in which way, for the metrics.
         latency: Times to an answer, for the metrics.
-        lines: Bounds the lines that are logged.
+        log_limiter: Bounds the lines that are logged.
         draining: Set when no new request is taken.
     """
 
     dispatcher: Dispatcher
     clock: Clock
-    dialect: Dialect = attrs.field(factory=Dialect)
+    http_conventions: HttpConventions = attrs.field(factory=HttpConventions)
     origin: str = ""
     outcomes: Counter[str] = attrs.field(factory=Counter)
     latency: LatencyHistogram = attrs.field(factory=LatencyHistogram)
-    lines: LogBudget = attrs.field(factory=LogBudget)
+    log_limiter: LogBudget = attrs.field(factory=LogBudget)
     draining: bool = False
 
     async def __call__(self, request: HttpRequest) -> HttpResponse:
@@ -101,7 +101,9 @@
             answer = await self._answer(request)
         except RequestError as error:
             self._note_refused(error, trace, begun_ms)
-            return error_response(error, self.dialect, closes=self.draining)
+            return error_response(
+                error, self.http_conventions, closes=self.draining
+            )
         except asyncio.CancelledError:
             # The caller has gone, so there is nobody to answer.
             self.outcomes[ErrorKind.CANCELLED.value] += 1
@@ -121,7 +123,7 @@
         return self._from_reply(reply, request.method)
 
     def _read(self, request: HttpRequest) -> CallerRequest:
-        dialect = self.dialect
+        dialect = self.http_conventions
         headers = dict(request.headers)
         trace_id = headers.get(dialect.request_id, b"").decode("latin-1")
         trace_id = trace_id or f"{random.getrandbits(_TRACE_BITS):032x}"
@@ -149,14 +151,16 @@
     def _passed_on(
         self, request: HttpRequest, headers: dict[bytes, bytes]
     ) -> list[tuple[bytes, bytes]]:
-        dropped = self.dialect.dropped
+        dropped = self.http_conventions.stripped
         passed_on = [
             item
             for item in end_to_end(request.headers)
             if item[0] not in dropped
         ]
-        if self.dialect.origin:
-            passed_on.append((self.dialect.origin, self.origin.encode()))
+        if self.http_conventions.origin:
+            passed_on.append(
+                (self.http_conventions.origin, self.origin.encode())
+            )
         if request.rest is not None and CONTENT_LENGTH in headers:
             passed_on.append((CONTENT_LENGTH, headers[CONTENT_LENGTH]))
         return passed_on
@@ -171,14 +175,16 @@
         if not 0 <= timeout_ms <= _LONGEST_TIMEOUT_MS:
             raise RequestError(ErrorKind.BAD_REQUEST)
         if timeout_ms < 1:
-            late = self.dialect.late_timeouts
+            late = self.http_conventions.zero_timeout_is_expired
             raise RequestError(
                 ErrorKind.DEADLINE_NOT_RUN if late else ErrorKind.BAD_REQUEST
             )
         return int(timeout_ms)
 
     def _service(self, headers: dict[bytes, bytes]) -> str:
-        service = headers.get(self.dialect.service, b"").decode("latin-1")
+        service = headers.get(self.http_conventions.service, b"").decode(
+            "latin-1"
+        )
         if not service:
             host = headers.get(b"host", b"").decode("latin-1").lower()
             service = host.rpartition(":")[0] or host
@@ -204,7 +210,7 @@
         if answer.rest is None:
             self.outcomes[ANSWERED] += 1
         self.latency.add(self.clock.now_ms() - begun_ms)
-        if self.lines.may_tell_success(self.clock.now_ms()):
+        if self.log_limiter.may_tell_success(self.clock.now_ms()):
             self._log("request.answered", trace, begun_ms, answer.status)
 
     def _note_refused(
@@ -222,7 +228,7 @@
     ) -> None:
         now_ms = self.clock.now_ms()
         if isinstance(outcome, ErrorKind):
-            if not self.lines.may_tell_failure(now_ms):
+            if not self.log_limiter.may_tell_failure(now_ms):
                 return
             outcome = outcome.value
         _logger.info(
@@ -235,6 +241,6 @@
                 "had_ms": trace.deadline_ms,
                 "took_ms": now_ms - begun_ms,
                 "tries": [str(item) for item in trace.attempts],
-                "lines_dropped": self.lines.take_dropped(),
+                "lines_dropped": self.log_limiter.take_dropped(),
             },
         )
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_server.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from pomelobank_node._dialect import Dialect
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node.callers._connection import HttpConnection
 from pomelobank_node.callers._messages import (
     Handler,
@@ -33,11 +33,11 @@
     Attributes:
         listen: Address to listen on; port 0 takes a free one.
         handler: Answers each request.
-        dialect: How errors are told.
+        http_conventions: How errors are told.
         limits: What callers may send; replaced with the configuration.
         stop_timeout_ms: Longest wait at a stop for requests under way.
-        sweeps: Whether it looks for time-outs by itself; else its owner calls
-            `sweep` now and then.
+        auto_check_timeouts: Whether it looks for time-outs by itself; else its
+            owner calls `check_timeouts` now and then.
         listener: Socket that is already listening; None to open one.
         address: Address that is really used, once it listens.
         draining: Whether connections end after the answers under way.
@@ -48,10 +48,10 @@
 
     listen: str
     handler: Handler
-    dialect: Dialect = attrs.field(factory=Dialect)
+    http_conventions: HttpConventions = attrs.field(factory=HttpConventions)
     limits: HttpLimits = attrs.field(factory=HttpLimits)
     stop_timeout_ms: int = 1000
-    sweeps: bool = True
+    auto_check_timeouts: bool = True
     listener: socket.socket | None = None
     address: str = ""
     draining: bool = False
@@ -76,26 +76,26 @@
             )
         bound = self.server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
-        if self.sweeps:
+        if self.auto_check_timeouts:
             self.sweeper = asyncio.create_task(self._sweep())
 
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_S)
-            self.sweep()
+            self.check_timeouts()
 
-    def sweep(self) -> None:
+    def check_timeouts(self) -> None:
         """Ends connections that are idle or slow for too long."""
         now_s = asyncio.get_running_loop().time()
         for connection in list(self.connections):
             connection.check_timeouts(now_s)
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """Requests without a written answer."""
         return sum(len(item.exchanges) for item in self.connections)
 
-    def opened(self, connection: HttpConnection) -> bool:
+    def accept(self, connection: HttpConnection) -> bool:
         """Takes a new connection; returns whether there is room for it."""
         if len(self.connections) >= _MAX_CONNECTIONS:
             self.rejected_connections += 1
@@ -107,7 +107,7 @@
         """Ends idle connections now and the others after their answers."""
         self.draining = True
         for connection in list(self.connections):
-            connection.end_if_idle()
+            connection.close_if_idle()
 
     async def stop(self) -> None:
         """Stops listening; finishes the requests under way within a bound."""
@@ -119,7 +119,7 @@
             await asyncio.gather(self.sweeper, return_exceptions=True)
         await self._wait_ended(self.stop_timeout_ms)
         for connection in list(self.connections):
-            connection.abandon_pending()
+            connection.fail_pending()
         await self._wait_ended(_LAST_WRITE_MS)
         for connection in list(self.connections):
             connection.abort()
--- a/packages/pomelobank-node/src/pomelobank_node/parts.py
+++ b/packages/pomelobank-node/src/pomelobank_node/parts.py
@@ -1,7 +1,7 @@
 """The parts from which a node is assembled on another platform."""
 
-from pomelobank_node._dialect import Dialect
 from pomelobank_node._event_loop import run_program, spare_collections
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._log import Log, LogError, LogErrorKind, LogPage
 from pomelobank_node._logging import set_up_logging
 from pomelobank_node._requests import RequestError
@@ -25,9 +25,9 @@
 )
 
 __all__ = [
-    "Dialect",
     "Document",
     "Handler",
+    "HttpConventions",
     "HttpLimits",
     "HttpRequest",
     "HttpResponse",
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_upstream_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_upstream_client.py
@@ -261,7 +261,7 @@
 
     Only where the settings say so is that taken for the whole.
     """
-    pool.open_ends = True
+    pool.allows_close_delimited = True
     target.answers = [OPEN_END]
     target.close_after = True
     assert (await pool.request(GET)).body == b"ends with the connection"
@@ -275,7 +275,7 @@
 
     The reset tells it from one that has said everything.
     """
-    pool.open_ends = True
+    pool.allows_close_delimited = True
     target.answers = [OPEN_END]
     asked = asyncio.create_task(pool.request(GET))
     await target.answered.wait()
--- a/packages/pomelobank-testing/src/pomelobank_testing/_goodput.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_goodput.py
@@ -117,7 +117,7 @@
     idle: dict[tuple[str, int], collections.deque[LightConnection]] = (
         attrs.field(factory=dict)
     )
-    under_way: int = 0
+    in_flight: int = 0
     quiet: asyncio.Event = attrs.field(factory=asyncio.Event)
     connecting: set[asyncio.Task[None]] = attrs.field(factory=set)
 
@@ -134,7 +134,7 @@
                 await asyncio.sleep(pause_s)
             counts = due >= begun + _WARM_UP_S
             self._send(seeded.choice(self.addresses), data, counts)
-        if self.under_way:
+        if self.in_flight:
             await self.quiet.wait()
         for connections in self.idle.values():
             for connection in connections:
@@ -144,7 +144,7 @@
     def _send(
         self, address: tuple[str, int], data: bytes, counts: bool
     ) -> None:
-        self.under_way += 1
+        self.in_flight += 1
         self.quiet.clear()
         idle = self.idle.setdefault(address, collections.deque())
         if idle:
@@ -178,8 +178,8 @@
             if counts:
                 self.taken_us.setdefault(status, []).append(taken_us)
             idle.append(ended)
-            self.under_way -= 1
-            if not self.under_way:
+            self.in_flight -= 1
+            if not self.in_flight:
                 self.quiet.set()
 
         connection.done = done
--- a/packages/pomelobank-testing/src/pomelobank_testing/_harness.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_harness.py
@@ -182,7 +182,7 @@
     @classmethod
     async def start(cls, service: UpstreamService) -> "EmbeddedTarget":
         """Starts the stand-in's server."""
-        server = HttpServer(ANY_PORT, service, cancels=True)
+        server = HttpServer(ANY_PORT, service, cancel_on_disconnect=True)
         await server.start()
         return cls(service, server)
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/_traffic.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_traffic.py
@@ -54,7 +54,7 @@
         longest_work_ms: Longest work of a request.
         seeded: Source of randomness.
         sent: Requests that have ended.
-        under_way: Requests that have not.
+        in_flight: Requests that have not.
     """
 
     mesh: TestMesh
@@ -65,7 +65,7 @@
     longest_work_ms: int = 30
     seeded: random.Random = attrs.field(factory=lambda: random.Random(1))
     sent: list[Sent] = attrs.field(factory=list)
-    under_way: int = 0
+    in_flight: int = 0
     tasks: list[asyncio.Task[None]] = attrs.field(factory=list)
     ended: asyncio.Event = attrs.field(factory=asyncio.Event)
     stopping: bool = False
@@ -107,9 +107,9 @@
     async def _call_on(self, index: int) -> None:
         entry = self.entries[index % len(self.entries)]
         while not self.stopping:
-            self.under_way += 1
+            self.in_flight += 1
             outcome = await self._call(entry)
-            self.under_way -= 1
+            self.in_flight -= 1
             self.sent.append(outcome)
             self.ended.set()
             if outcome.status != _OK:
