--- a/packages/pomelobank-core/src/pomelobank_core/_members.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_members.py
@@ -221,7 +221,7 @@
             return
         self._set_own(attrs.evolve(self.own, sequence=entry.sequence + 1))
 
-    def forget(self, node: str) -> None:
+    def remove(self, node: str) -> None:
         """Drops the entry of a gone member and remembers its rank."""
         entry = self.others.pop(node)
         self.serving_changes += 1
--- a/packages/pomelobank-core/src/pomelobank_core/_swim.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim.py
@@ -317,7 +317,7 @@
         for node, gone_ms in list(self.gone_ms.items()):
             if now_ms - gone_ms >= kept_ms:
                 del self.gone_ms[node]
-                self.table.forget(node)
+                self.table.remove(node)
 
     def learn(self, gossip: Gossip, now_ms: int) -> None:
         """Takes what a peer tells."""
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_members.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_members.py
@@ -103,7 +103,7 @@
     table = new_table()
     table.merge(before)
     for node in list(table.others):
-        table.forget(node)
+        table.remove(node)
     ranks = dict(table.forgotten)
     table.merge(after)
     for node, known in table.others.items():
--- a/packages/pomelobank-node/src/pomelobank_node/_admin.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_admin.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define(eq=False)
-class Admin:
+class AdminApi:
     """Pages for the platform and for the target beside the node.
 
     Attributes:
@@ -67,7 +67,7 @@
         except SchemaError as error:
             self.bad_announcements += 1
             return JSONResponse(_problem(error), _BAD_REQUEST)
-        await self.target.take(announcement)
+        await self.target.handle_announcement(announcement)
         return self._state()
 
     async def drain(self, _: Request) -> Response:
--- a/packages/pomelobank-node/src/pomelobank_node/_application.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_application.py
@@ -7,7 +7,7 @@
 import attrs
 
 from pomelobank_core import MemberTable, TargetLease
-from pomelobank_node._admin import Admin
+from pomelobank_node._admin import AdminApi
 from pomelobank_node._claims import ClaimService
 from pomelobank_node._clock import SystemClock
 from pomelobank_node._component import Component
@@ -40,11 +40,11 @@
 
     Attributes:
         settings: Its settings.
-        started: Parts to stop, in the order of their start.
+        started_components: Parts to stop, in the order of their start.
     """
 
     settings: NodeSettings
-    started: list[Component] = attrs.field(factory=list)
+    started_components: list[Component] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         settings = self.settings
@@ -96,13 +96,13 @@
         self._build_claims(dispatcher)
         self.ingress = Ingress(dispatcher, self.clock)
         self.metrics = Metrics(settings.node, settings.data_centre)
-        self.admin_api = Admin(self.target, self.store)
+        self.admin_api = AdminApi(self.target, self.store)
         operator = OperatorService(
             self.store, self.log, self.feed, self.membership, self.clock
         )
         listen = settings.listen
         pages = self.admin_api.application()
-        pages.add_route("/metrics", self.metrics.page)
+        pages.add_route("/metrics", self.metrics.handle_request)
         # A caller that never reads its answer must not hold up a stop.
         self.http = CallerServer(
             listen.http,
@@ -162,7 +162,7 @@
 
     async def _start(self, part: Component) -> None:
         await part.start()
-        self.started.append(part)
+        self.started_components.append(part)
 
     async def stop(self) -> None:
         """Drains, then stops every part without cutting a request off.
@@ -183,7 +183,7 @@
             await server.stop()
         _logger.info("node.servers_stopped")
         await self.membership.leave()
-        for part in reversed(self.started):
+        for part in reversed(self.started_components):
             if part not in (self.http, self.admin):
                 await part.stop()
         _logger.info("node.stopped")
--- a/packages/pomelobank-node/src/pomelobank_node/_bodies.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_bodies.py
@@ -17,7 +17,7 @@
 # A body up to this size travels whole in one frame. Stock look-ups and
 # reorders are a few hundred bytes; at 64 KiB one frame still takes well under
 # a millisecond of a stream, so nothing behind it waits long.
-INLINE_BYTES = 64 * 1024
+MAX_INLINE_BODY_BYTES = 64 * 1024
 # Size of a part of a larger body: what a look-up may have to wait for when it
 # meets an archive on the same stream.
 CHUNK_BYTES = 32 * 1024
@@ -29,7 +29,7 @@
 # Bodies of requests with an idempotency key, and of their answers, travel
 # whole: the claim covers a digest of the whole request, and the answer is
 # kept for a resend. Reorders and acknowledgements are far smaller.
-KEYED_BYTES = 4 * 1024 * 1024
+MAX_KEYED_BODY_BYTES = 4 * 1024 * 1024
 
 
 class BodySource(Protocol):
@@ -93,7 +93,7 @@
 
 
 @attrs.define(eq=False)
-class HeldBackBody:
+class DeferredBody:
     """A body that is in memory and is sent once its receiver asks for it.
 
     Attributes:
@@ -114,7 +114,7 @@
         """Does nothing; the body stays in memory for another try."""
 
 
-def can_be_sent_again(request: ForwardRequest) -> bool:
+def can_resend(request: ForwardRequest) -> bool:
     """Tells whether the whole body is still there for another try.
 
     A body that streams through is not kept. Sent again after a part of it was
@@ -125,7 +125,7 @@
 
 
 @attrs.define(eq=False)
-class PartBuffer:
+class BodyBuffer:
     """Parts of a body between the one who brings and the one who reads them.
 
     Attributes:
@@ -228,7 +228,9 @@
         self.on_end()
 
 
-def when_ended(reply: ForwardReply, on_end: Callable[[], None]) -> ForwardReply:
+def with_end_callback(
+    reply: ForwardReply, on_end: Callable[[], None]
+) -> ForwardReply:
     """Calls back once a reply's whole body has been read or given up.
 
     A target is still at work while its answer is on the way. Were its slot
@@ -244,7 +246,7 @@
     return attrs.evolve(reply, rest=EndedBody(reply.rest, on_end))
 
 
-async def whole_request(request: ForwardRequest) -> ForwardRequest:
+async def read_full_request(request: ForwardRequest) -> ForwardRequest:
     """Waits for the body of a request that was held back.
 
     Raises:
@@ -264,7 +266,7 @@
     return ForwardRequest(**{**fields, "body": b"".join(parts), "more": False})
 
 
-async def whole_reply(reply: ForwardReply, most_bytes: int) -> ForwardReply:
+async def read_full_reply(reply: ForwardReply, most_bytes: int) -> ForwardReply:
     """Waits for the whole body of a reply.
 
     Args:
--- a/packages/pomelobank-node/src/pomelobank_node/_body_frames.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_body_frames.py
@@ -37,7 +37,7 @@
 
 
 @attrs.define(eq=False)
-class Grants:
+class ReceiveWindow:
     """The receiver's side of a body's flow control.
 
     Made for archives that a caller reads more slowly than the target writes
@@ -66,7 +66,7 @@
             self.allowed += freed
             self.send(freed)
 
-    def take(self, size: int) -> bool:
+    def consume(self, size: int) -> bool:
         """Notes bytes that came in; False where they were not granted."""
         self.allowed -= size
         return self.allowed >= 0
@@ -100,12 +100,12 @@
     sent = 0
     while sent < len(data):
         await credit.granted.wait()
-        if not await stream.turn():
+        if not await stream.acquire_turn():
             return False
         size = min(CHUNK_BYTES, credit.available)
         part = data[sent : sent + size]
         credit.use(len(part))
         sent += len(part)
         stream.send(BodyChunk(request_id=request_id, data=part, more=True))
-        stream.turn_over()
+        stream.release_turn()
     return True
--- a/packages/pomelobank-node/src/pomelobank_node/_crash_watch.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
@@ -18,25 +18,25 @@
 
 
 @attrs.define(eq=False)
-class CrashWatch:
+class CrashDetector:
     """Watches the requests at the node's target.
 
     Attributes:
-        reports: Told about crashes.
+        crash_reports: Told about crashes.
         running: Requests at the target.
         broken: Requests whose connection broke since the last verdict.
         verdict: Being reached on these, None while there are none.
         crashes: Crashes that were seen, for the metrics.
     """
 
-    reports: CrashReports
+    crash_reports: CrashReports
     running: dict[int, ForwardRequest] = attrs.field(factory=dict)
     broken: int = 0
     verdict: asyncio.Task[None] | None = None
     crashes: int = 0
 
     @contextlib.contextmanager
-    def watching(self, request: ForwardRequest) -> Iterator[None]:
+    def track(self, request: ForwardRequest) -> Iterator[None]:
         """Watches a request while it is at the target."""
         self.running[id(request)] = request
         try:
@@ -44,7 +44,7 @@
         finally:
             del self.running[id(request)]
 
-    async def connection_broke(self, address: str) -> None:
+    async def on_connection_lost(self, address: str) -> None:
         """Takes a broken connection; returns once its cause is known.
 
         The news of a crash leaves this node before the caller learns of it,
@@ -67,7 +67,7 @@
         self.broken = 0
         if gone or all_broke:
             self.crashes += 1
-            self.reports.target_lost(beside)
+            self.crash_reports.on_target_lost(beside)
 
 
 async def _accepts(address: str) -> bool:
--- a/packages/pomelobank-node/src/pomelobank_node/_crash_reports.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_reports.py
@@ -83,7 +83,7 @@
             raise RequestError(ErrorKind.QUARANTINED, after_ms)
         return standing
 
-    def target_lost(self, requests: Iterable[ForwardRequest]) -> None:
+    def on_target_lost(self, requests: Iterable[ForwardRequest]) -> None:
         """Takes the requests that were at the target when it crashed."""
         prints = {request_fingerprint(request) for request in requests}
         alone = len(prints) == 1
@@ -92,12 +92,12 @@
             for item in prints
         )
 
-    def node_lost(self, request: ForwardRequest) -> None:
+    def on_node_lost(self, request: ForwardRequest) -> None:
         """Takes a request whose node was lost while it was there."""
         print_ = request_fingerprint(request)
         self._report([Evidence(print_, points=POINTS_NODE_LOST)])
 
-    def ran(self, request: ForwardRequest) -> None:
+    def on_request_completed(self, request: ForwardRequest) -> None:
         """Takes a request that ran to its end."""
         if not self.table.entries:
             return
--- a/packages/pomelobank-node/src/pomelobank_node/_dispatcher.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_dispatcher.py
@@ -17,9 +17,9 @@
     service_of,
 )
 from pomelobank_node._bodies import (
-    KEYED_BYTES,
+    MAX_KEYED_BODY_BYTES,
     BodySource,
-    whole_reply,
+    read_full_reply,
     with_rest,
 )
 from pomelobank_node._forwarder import Forwarder
@@ -166,7 +166,7 @@
                 ErrorKind.NOT_READY if behind else ErrorKind.NO_ROUTE
             )
         reply = await self._route_on(route, request)
-        return await whole_reply(reply, KEYED_BYTES)
+        return await read_full_reply(reply, MAX_KEYED_BODY_BYTES)
 
     async def _route_on(
         self, route: RouteObject, request: ForwardRequest
--- a/packages/pomelobank-node/src/pomelobank_node/_event_loop.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_event_loop.py
@@ -9,7 +9,7 @@
 # Turns of the loop without a question to the kernel while callbacks are ready.
 # A request takes about this many turns on its way through a node; new events
 # wait for that at most.
-MOST_SKIPPED = 16
+MAX_SKIPPED_POLLS = 16
 
 # Objects that are made before the youngest are looked at. Each closed
 # connection leaves a cycle of its parser, protocol and transport; with ten
@@ -20,7 +20,7 @@
 ResultT = TypeVar("ResultT")
 
 
-class SparingSelector(selectors.DefaultSelector):
+class PollSkippingSelector(selectors.DefaultSelector):
     """Skips questions that would only be asked in passing.
 
     The loop asks for events in each turn, also where its own callbacks are
@@ -40,7 +40,7 @@
     ) -> list[tuple[selectors.SelectorKey, int]]:
         """Returns what is ready; nothing where the loop has work to do."""
         is_passing = timeout is not None and timeout <= 0
-        if is_passing and self.skipped < MOST_SKIPPED:
+        if is_passing and self.skipped < MAX_SKIPPED_POLLS:
             self.skipped += 1
             return []
         self.skipped = 0
@@ -52,10 +52,10 @@
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
     """Returns the event loop of a node."""
-    return asyncio.SelectorEventLoop(SparingSelector())
+    return asyncio.SelectorEventLoop(PollSkippingSelector())
 
 
-def spare_collections() -> None:
+def tune_garbage_collector() -> None:
     """Keeps the garbage collector from stopping requests.
 
     A full collection walks everything that was imported, tens of milliseconds
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -27,24 +27,24 @@
     isolation_target,
 )
 from pomelobank_node._bodies import (
-    HeldBackBody,
-    can_be_sent_again,
+    DeferredBody,
+    can_resend,
     rest_of,
     with_rest,
 )
 from pomelobank_node._crash_reports import request_fingerprint
-from pomelobank_node._http_conventions import HttpConventions
-from pomelobank_node._journey import (
+from pomelobank_node._forwarding_state import (
     HEDGE_MAX_WAIT_MS,
-    OFFERS,
-    OFFERS_BEFORE_QUEUES,
-    Journey,
+    MAX_OFFERS,
+    MAX_OFFERS_BEFORE_LATE_BINDING,
+    ForwardingState,
     is_shed,
     load_class,
     observation,
     was_declined,
     was_served,
 )
+from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._late_binding import (
     LateBinding,
     late_binding_target_count,
@@ -98,9 +98,9 @@
         retry_header: Marks a request that is part of a retry; empty for none.
         index: The targets of each upstream.
         retries: Decides about further tries.
-        hold_back_bytes: Size from which bodies to another data centre wait for
-            a slot.
-        line_bytes_per_ms: Speed of the node's line; infinite where unknown.
+        deferred_body_min_bytes: Size from which bodies to another data centre
+            wait for a slot.
+        uplink_bytes_per_ms: Speed of the node's line; infinite where unknown.
         hedging: Decides when an overdue request is sent twice; None for never.
         hedged: Requests that were sent twice, for the metrics.
         hedges_won: Those of them that the second target answered first.
@@ -115,8 +115,8 @@
     retry_header: bytes = RETRY_HEADER
     index: CandidateIndex = attrs.field()
     retries: RetryPolicy = attrs.field(factory=RetryPolicy)
-    hold_back_bytes: int = HOLD_BACK_BYTES
-    line_bytes_per_ms: float = math.inf
+    deferred_body_min_bytes: int = HOLD_BACK_BYTES
+    uplink_bytes_per_ms: float = math.inf
     hedging: Hedging | None = None
     rejected: int = 0
     hedged: int = 0
@@ -140,7 +140,7 @@
         """
         now_ms = self.clock.now_ms()
         names = {header.name for header in request.headers}
-        journey = Journey(
+        journey = ForwardingState(
             request,
             now_ms + request.remaining_ms,
             bool(self.retry_header) and self.retry_header in names,
@@ -150,11 +150,11 @@
         if target is None:
             raise RequestError(ErrorKind.NO_TARGET)
         self._turn_away(request, now_ms)
-        journey.offers = self._offers(journey)
+        journey.offers_left = self._offers(journey)
         while True:
-            offers = journey.offers
+            offers = journey.offers_left
             reply = await self._hedged(journey, self._try(journey, target))
-            declined = journey.offers < offers
+            declined = journey.offers_left < offers
             # Where it was sent twice meanwhile, the other reply counts.
             if declined and reply.error == ErrorKind.OVERLOADED.value:
                 if not self._may_bind_late(journey):
@@ -164,46 +164,46 @@
                     journey, self._queue_at_several(journey)
                 )
                 if reply.error == ErrorKind.OVERLOADED.value:
-                    return journey.final(reply)
+                    return journey.final_reply(reply)
             retry = self._decide(journey, reply)
             if retry is None:
-                return journey.final(reply)
-            journey.remember(reply)
+                return journey.final_reply(reply)
+            journey.record_reply(reply)
             await asyncio.sleep(retry.delay_ms / _MS_PER_S)
             try:
                 following = self._place(journey)
             except RequestError as error:
                 # By now the request is known to crash targets.
                 refusal = error_reply(request.request_id, error)
-                return journey.final(refusal)
+                return journey.final_reply(refusal)
             if following is None:
-                return journey.final(reply)
+                return journey.final_reply(reply)
             target = following
 
-    def _offers(self, journey: Journey) -> int:
+    def _offers(self, journey: ForwardingState) -> int:
         targets = self.index.of(journey.request.upstream).targets
         if not self.retries.free_rejections or journey.runs_isolated:
             return 0
-        if len(targets) < OFFERS:
+        if len(targets) < MAX_OFFERS:
             return 0
         if self._may_bind_late(journey):
-            return OFFERS_BEFORE_QUEUES
-        return OFFERS
+            return MAX_OFFERS_BEFORE_LATE_BINDING
+        return MAX_OFFERS
 
-    def _may_bind_late(self, journey: Journey) -> bool:
+    def _may_bind_late(self, journey: ForwardingState) -> bool:
         candidates = self.index.of(journey.request.upstream)
         return may_bind_late(journey, candidates)
 
-    def _after_decline(self, journey: Journey) -> MemberEntry:
+    def _after_decline(self, journey: ForwardingState) -> MemberEntry:
         now_ms = self.clock.now_ms()
         kind = load_class(journey.request)
-        if journey.offers:
+        if journey.offers_left:
             other = self._place(journey)
             if other and self.load_balancer.may_accept(other, kind, now_ms):
                 return other
         # No idle target was found; the one with the shortest queue has to
         # take it.
-        journey.offers = 0
+        journey.offers_left = 0
         return journey.least_busy()
 
     def _turn_away(self, request: ForwardRequest, now_ms: int) -> None:
@@ -215,11 +215,11 @@
             self.rejected += 1
             raise RequestError(ErrorKind.OVERLOADED, retry_after_ms)
 
-    def _place(self, journey: Journey) -> MemberEntry | None:
+    def _place(self, journey: ForwardingState) -> MemberEntry | None:
         request = journey.request
         candidates = self.index.of(request.upstream)
         now_ms = self.clock.now_ms()
-        standing = self.owner.reports.check(request)
+        standing = self.owner.crash_reports.check(request)
         journey.runs_isolated = standing is QuarantineState.SUSPECT
         if journey.runs_isolated:
             # Every node sends it to the same target, so that it runs once at
@@ -230,7 +230,7 @@
             candidates, journey.attempted_nodes, load_class(request), now_ms
         )
 
-    async def _queue_at_several(self, journey: Journey) -> ForwardReply:
+    async def _queue_at_several(self, journey: ForwardingState) -> ForwardReply:
         candidates = self.index.of(journey.request.upstream)
         targets = self.load_balancer.pick_several(
             candidates,
@@ -238,7 +238,7 @@
             self.clock.now_ms(),
         )
         if not targets:
-            journey.offers = 0
+            journey.offers_left = 0
             return await self._try(journey, journey.least_busy())
         binding = LateBinding()
         for target in targets:
@@ -251,7 +251,9 @@
             binding.cancel()
 
     async def _hedged(
-        self, journey: Journey, first: Coroutine[None, None, ForwardReply]
+        self,
+        journey: ForwardingState,
+        first: Coroutine[None, None, ForwardReply],
     ) -> ForwardReply:
         after_ms = self._hedge_after_ms(journey)
         if after_ms is None:
@@ -273,12 +275,13 @@
         # A request that may crash targets runs on one at a time.
         try:
             return (
-                self.owner.reports.check(request) is not QuarantineState.CLEAR
+                self.owner.crash_reports.check(request)
+                is not QuarantineState.CLEAR
             )
         except RequestError:
             return True
 
-    def _hedge_after_ms(self, journey: Journey) -> float | None:
+    def _hedge_after_ms(self, journey: ForwardingState) -> float | None:
         request = journey.request
         once = (request.max_attempts or MAX_ATTEMPTS) < _TWICE
         if self.hedging is None or once or not request.idempotent:
@@ -289,7 +292,7 @@
         left_ms = journey.deadline_ms - now_ms
         return self.hedging.delay_ms(request.route, left_ms, now_ms)
 
-    def _second_target(self, journey: Journey) -> MemberEntry | None:
+    def _second_target(self, journey: ForwardingState) -> MemberEntry | None:
         request = journey.request
         if self._is_suspect(request):
             return None
@@ -308,7 +311,7 @@
         return other
 
     async def _first_good(
-        self, journey: Journey, tries: list[asyncio.Task[ForwardReply]]
+        self, journey: ForwardingState, tries: list[asyncio.Task[ForwardReply]]
     ) -> ForwardReply:
         first, pending = tries[0], set(tries)
         while True:
@@ -325,11 +328,11 @@
                         _put_away(journey, other)
                 return reply
             for _, reply in replies:
-                journey.remember(reply)
+                journey.record_reply(reply)
 
     async def _try(
         self,
-        journey: Journey,
+        journey: ForwardingState,
         target: MemberEntry,
         is_hedge: bool = False,
         binding: LateBinding | None = None,
@@ -344,9 +347,7 @@
             remaining_ms=left_ms,
             # What is late already keeps the shortest aim that can be told.
             aim_ms=max(1, first.aim_ms - spent_ms) if first.aim_ms else 0,
-            max_wait_ms=HEDGE_MAX_WAIT_MS
-            if is_hedge
-            else journey.offer_wait_ms,
+            max_wait_ms=HEDGE_MAX_WAIT_MS if is_hedge else journey.max_wait_ms,
             bind_late=binding is not None,
         )
         if binding is None and journey.attempts > journey.redirects:
@@ -360,7 +361,7 @@
             reply = await self._send(target, request, binding)
             took_ms = self.clock.now_ms() - begun_ms
             if was_declined(request, reply):
-                journey.decline(target, reply, is_offer=not is_hedge)
+                journey.record_decline(target, reply, is_offer=not is_hedge)
             seen = observation(request, reply, took_ms, first.aim_ms)
             _trace_try(target, reply.error or str(reply.status), took_ms)
             if self.hedging is not None and was_served(reply):
@@ -368,7 +369,7 @@
                     request.route, took_ms, self.clock.now_ms()
                 )
             if reply.error == ErrorKind.PEER_LOST.value:
-                self.owner.reports.node_lost(request)
+                self.owner.crash_reports.on_node_lost(request)
             return reply
         except asyncio.CancelledError:
             if binding is not None and binding.node != target.node:
@@ -426,15 +427,15 @@
     def _hold_back(
         self, request: ForwardRequest, target: MemberEntry
     ) -> ForwardRequest:
-        least: float = self.hold_back_bytes
+        least: float = self.deferred_body_min_bytes
         if target.data_centre == self.members.own.data_centre:
-            least = max(least, HOLD_BACK_MS * self.line_bytes_per_ms)
+            least = max(least, HOLD_BACK_MS * self.uplink_bytes_per_ms)
         if rest_of(request) or len(request.body) < least:
             return request
         head = attrs.evolve(
             request, body=b"", fingerprint=request_fingerprint(request)
         )
-        return with_rest(head, HeldBackBody(request.body))
+        return with_rest(head, DeferredBody(request.body))
 
     def _mark_retry(self, request: ForwardRequest) -> ForwardRequest:
         name = self.retry_header
@@ -443,12 +444,14 @@
         marked = (*request.headers, Header(name=name, value=b"1"))
         return attrs.evolve(request, headers=marked)
 
-    def _decide(self, journey: Journey, reply: ForwardReply) -> Retry | None:
+    def _decide(
+        self, journey: ForwardingState, reply: ForwardReply
+    ) -> Retry | None:
         error = reply_error(reply)
         if error is None and not is_shed(reply):
             return None
         request = journey.request
-        if rest_of(reply) is not None or not can_be_sent_again(request):
+        if rest_of(reply) is not None or not can_resend(request):
             return None
         now_ms = self.clock.now_ms()
         attempt = FailedAttempt(
@@ -466,7 +469,7 @@
             journey.redirects += 1
         return retry
 
-    def _other_room(self, journey: Journey, now_ms: int) -> bool:
+    def _other_room(self, journey: ForwardingState, now_ms: int) -> bool:
         traffic_class = load_class(journey.request)
         candidates = self.index.of(journey.request.upstream)
         other = self.load_balancer.pick(
@@ -481,9 +484,9 @@
         return self.load_balancer.has_capacity(other, traffic_class, now_ms)
 
 
-def _put_away(journey: Journey, reply: ForwardReply) -> None:
+def _put_away(journey: ForwardingState, reply: ForwardReply) -> None:
     """Takes a reply that came beside a better one."""
-    journey.remember(reply)
+    journey.record_reply(reply)
     rest = rest_of(reply)
     if rest is not None:
         # Nobody will read it; its target would stay busy until the deadline.
--- a/packages/pomelobank-node/src/pomelobank_node/_journey.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarding_state.py
@@ -17,10 +17,10 @@
 # Targets that may decline a request before the least busy of them has to take
 # it. With six of ten slots busy, one target in three has none free, and of two
 # in a row one in nine; a third would shorten few waits.
-OFFERS = 2
+MAX_OFFERS = 2
 # The same for a request that then waits at several targets: whichever has a
 # slot first is found without a look at one after the other.
-OFFERS_BEFORE_QUEUES = 1
+MAX_OFFERS_BEFORE_LATE_BINDING = 1
 # Longest wait with which a second try of an overdue request is taken. It gets a
 # slot that is free now; under load it would take one from a first try.
 HEDGE_MAX_WAIT_MS = 1
@@ -31,7 +31,7 @@
 
 
 @attrs.define(eq=False)
-class Journey:
+class ForwardingState:
     """A request and where it has been.
 
     Attributes:
@@ -42,8 +42,8 @@
         attempts: How often it was sent.
         redirects: How many of these cost the upstream nothing.
         may_have_run: Reply of the last try that may have run, if any.
-        offers: How many targets may still decline it.
-        declined: Targets that declined it, each with its expected wait.
+        offers_left: How many targets may still decline it.
+        declined_wait_ms: Targets that declined it, each with its expected wait.
         runs_isolated: Whether it is suspected to crash targets.
     """
 
@@ -54,20 +54,20 @@
     attempts: int = 0
     redirects: int = 0
     may_have_run: ForwardReply | None = None
-    offers: int = 0
-    declined: dict[MemberEntry, int] = attrs.field(factory=dict)
+    offers_left: int = 0
+    declined_wait_ms: dict[MemberEntry, int] = attrs.field(factory=dict)
     runs_isolated: bool = False
 
     @property
-    def offer_wait_ms(self) -> int:
+    def max_wait_ms(self) -> int:
         """Longest wait with which it is offered now; 0 for any."""
-        if not self.offers:
+        if not self.offers_left:
             return 0
         request = self.request
         objective_ms = request.aim_ms or request.remaining_ms
         return max(1, int(OFFER_WAIT_PART * objective_ms))
 
-    def decline(
+    def record_decline(
         self, target: MemberEntry, reply: ForwardReply, is_offer: bool = True
     ) -> None:
         """Takes note that a target declined it, which is no try.
@@ -79,8 +79,8 @@
         """
         self.attempts -= 1
         if is_offer:
-            self.offers -= 1
-            self.declined[target] = reply.retry_after_ms
+            self.offers_left -= 1
+            self.declined_wait_ms[target] = reply.retry_after_ms
 
     def discard_attempt(self, target: MemberEntry) -> None:
         """Takes note that it only waited at a target, which is no try."""
@@ -89,9 +89,12 @@
 
     def least_busy(self) -> MemberEntry:
         """Returns the target with the shortest wait of those that declined."""
-        return min(self.declined, key=lambda entry: self.declined[entry])
+        return min(
+            self.declined_wait_ms,
+            key=lambda entry: self.declined_wait_ms[entry],
+        )
 
-    def remember(self, reply: ForwardReply) -> None:
+    def record_reply(self, reply: ForwardReply) -> None:
         """Keeps the reply of a try that may have run."""
         error = reply_error(reply)
         not_run = (
@@ -100,7 +103,7 @@
         if not not_run:
             self.may_have_run = reply
 
-    def final(self, reply: ForwardReply) -> ForwardReply:
+    def final_reply(self, reply: ForwardReply) -> ForwardReply:
         """Returns what the caller is told, given the last try's reply.
 
         The last try may have been refused as not run after an earlier one was
--- a/packages/pomelobank-node/src/pomelobank_node/_frames.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_frames.py
@@ -8,7 +8,7 @@
 
 import msgpack
 
-from pomelobank_node._peer_sockets import notice_dead_peer
+from pomelobank_node._socket_options import enable_dead_peer_detection
 from pomelobank_schema import (
     SchemaError,
     SchemaErrorKind,
@@ -95,7 +95,7 @@
         self.loop = asyncio.get_running_loop()
         # Be told as soon as the kernel did not take all of a frame.
         transport.set_write_buffer_limits(high=0)
-        notice_dead_peer(transport)
+        enable_dead_peer_detection(transport)
         sock = transport.get_extra_info("socket")
         if hasattr(socket, "TCP_NOTSENT_LOWAT"):
             sock.setsockopt(
@@ -170,7 +170,7 @@
         self.bytes_sent += len(data)
         self.transport.write(data)
 
-    async def turn(self) -> bool:
+    async def acquire_turn(self) -> bool:
         """Waits until a part of a body may be sent.
 
         Bodies take turns in the order in which they asked; frames that wait go
@@ -185,11 +185,11 @@
             try:
                 await waiting
             except asyncio.CancelledError:
-                self.turn_over()
+                self.release_turn()
                 raise
         return not self.closed
 
-    def turn_over(self) -> None:
+    def release_turn(self) -> None:
         """Passes the turn on; called after a part was sent."""
         while self.turns and not self.paused and not self.queue:
             turn = self.turns.popleft()
@@ -279,7 +279,7 @@
             return
         try:
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
-                while self.queue and await self.turn():
+                while self.queue and await self.acquire_turn():
                     continue
                 if not self.closed:
                     # The peer closes when it has read all of this. Closing
--- a/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
@@ -6,7 +6,7 @@
 
 from pomelobank_core import Candidates, ErrorKind
 from pomelobank_node._bodies import rest_of
-from pomelobank_node._journey import Journey, was_served
+from pomelobank_node._forwarding_state import ForwardingState, was_served
 from pomelobank_node._requests import ForwardReply
 
 # Slots in front of which a request waits at the same time. Each further target
@@ -25,7 +25,7 @@
     return LATE_BINDING_SLOTS // max(1, candidates.max_slots)
 
 
-def may_bind_late(journey: Journey, candidates: Candidates) -> bool:
+def may_bind_late(journey: ForwardingState, candidates: Candidates) -> bool:
     """Tells whether a request may wait at several targets.
 
     It is sent to each of them, and a peer of an earlier version runs it
--- a/packages/pomelobank-node/src/pomelobank_node/_main.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_main.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from pomelobank_node._application import NodeApplication, run_until
-from pomelobank_node._event_loop import run_program, spare_collections
+from pomelobank_node._event_loop import run_program, tune_garbage_collector
 from pomelobank_node._logging import set_up_logging
 from pomelobank_schema import SchemaError, build, read_yaml
 from pomelobank_schema.generated.settings import NodeSettings
@@ -63,7 +63,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
     try:
-        await run_until(application, ended, spare_collections)
+        await run_until(application, ended, tune_garbage_collector)
     except OSError as error:
         print(f"pomelobankd: {error}", file=sys.stderr)
         return EXIT_FAILED
--- a/packages/pomelobank-node/src/pomelobank_node/_membership.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_membership.py
@@ -200,7 +200,7 @@
                 # Bytes for a peer that was cut off wait for the kernel's
                 # retries, which come minutes apart by then; callers would
                 # wait too, and the first words after the cut come late.
-                self.links.drop(entry.peer_address)
+                self.links.disconnect(entry.peer_address)
         self._note_joined()
 
     def _note_joined(self) -> None:
--- a/packages/pomelobank-node/src/pomelobank_node/_metrics.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_metrics.py
@@ -20,7 +20,7 @@
     from starlette.responses import Response
 
 Reading = int | float | Mapping[str, int]
-Read = Callable[[], Reading]
+ValueCallback = Callable[[], Reading]
 
 
 @attrs.frozen
@@ -56,9 +56,9 @@
     node: str
     data_centre: str
     provider: MeterProvider | None = None
-    readers: list[tuple[Instrument, Read]] = attrs.field(factory=list)
+    readers: list[tuple[Instrument, ValueCallback]] = attrs.field(factory=list)
 
-    def observe(self, instrument: Instrument, read: Read) -> None:
+    def observe(self, instrument: Instrument, read: ValueCallback) -> None:
         """Adds an instrument; only before the start."""
         self.readers.append((instrument, read))
 
@@ -73,7 +73,7 @@
             self._register(meter, instrument, read)
 
     def _register(
-        self, meter: Meter, instrument: Instrument, read: Read
+        self, meter: Meter, instrument: Instrument, read: ValueCallback
     ) -> None:
         common = {"node": self.node, "data_centre": self.data_centre}
 
@@ -107,7 +107,7 @@
         """Returns every metric in the Prometheus text format."""
         return generate_latest(REGISTRY)
 
-    async def page(self, _: "Request") -> "Response":
+    async def handle_request(self, _: "Request") -> "Response":
         """Answers with every metric in the Prometheus text format."""
         # A node whose pages another server serves does without this library.
         from starlette.responses import Response
--- a/packages/pomelobank-node/src/pomelobank_node/_metrics_page.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_metrics_handler.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define(eq=False)
-class MetricsPage:
+class MetricsHandler:
     """Answers with every metric.
 
     The metrics' libraries take 16 MB; on most nodes nobody ever asks, so they
--- a/packages/pomelobank-node/src/pomelobank_node/_observations.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_observations.py
@@ -8,11 +8,11 @@
 
 from pomelobank_core import TwoChoices
 from pomelobank_node import _instruments as listed
-from pomelobank_node._metrics import Instrument, Metrics, Read
+from pomelobank_node._metrics import Instrument, Metrics, ValueCallback
 
 if TYPE_CHECKING:
     from pomelobank_core import Clock, MemberTable
-    from pomelobank_node._admin import Admin
+    from pomelobank_node._admin import AdminApi
     from pomelobank_node._claims import ClaimService
     from pomelobank_node._config_feed import ConfigFeed
     from pomelobank_node._config_store import ConfigStore
@@ -29,7 +29,7 @@
     from pomelobank_node.published import PublishedFeed, PublishedStore
     from pomelobank_schema.generated.settings import NodeSettings
 
-Readings = Iterator[tuple[Instrument, Read]]
+Readings = Iterator[tuple[Instrument, ValueCallback]]
 
 
 class ObservedNode(Protocol):
@@ -116,7 +116,7 @@
         """Idempotency keys."""
 
     @property
-    def admin_api(self) -> Admin:
+    def admin_api(self) -> AdminApi:
         """The target's announcements."""
 
 
@@ -126,7 +126,7 @@
 
 
 def observe_sidecar(
-    metrics: Metrics, node: ObservedSidecar, unwritten: Read
+    metrics: Metrics, node: ObservedSidecar, unwritten: ValueCallback
 ) -> None:
     """Adds every metric of a node on a platform.
 
@@ -250,7 +250,7 @@
     yield listed.TARGET_REFUSED, lambda: admission.rejected
     yield listed.TARGET_EXPIRED, lambda: admission.expired
     yield listed.TARGET_DECLINED, lambda: admission.declined
-    yield listed.TARGET_CRASHES, lambda: owner.watch.crashes
+    yield listed.TARGET_CRASHES, lambda: owner.crash_detector.crashes
     yield listed.TARGET_LAPSES, lambda: node.target.lease.lapses
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
@@ -16,11 +16,11 @@
 )
 from pomelobank_node._bodies import (
     WINDOW_BYTES,
-    PartBuffer,
+    BodyBuffer,
     StreamedReply,
     rest_of,
 )
-from pomelobank_node._body_frames import Credit, Grants, send_rest
+from pomelobank_node._body_frames import Credit, ReceiveWindow, send_rest
 from pomelobank_node._frames import FrameStream
 from pomelobank_node._requests import (
     ForwardReply,
@@ -51,7 +51,7 @@
 
 
 # Tells whether a request takes the slot that an owner offers.
-SlotTaker = Callable[[], bool]
+SlotAcceptor = Callable[[], bool]
 
 
 @attrs.define(eq=False)
@@ -70,9 +70,9 @@
 
     reply: asyncio.Future[ForwardReply]
     request: ForwardRequest
-    on_slot: SlotTaker | None = None
+    on_slot: SlotAcceptor | None = None
     timer: asyncio.TimerHandle | None = None
-    download: PartBuffer | None = None
+    download: BodyBuffer | None = None
     credit: Credit = attrs.field(factory=Credit)
     upload: asyncio.Task[None] | None = None
 
@@ -118,7 +118,7 @@
         self.stream.on_written = self.table.on_written
 
     async def forward(
-        self, request: ForwardRequest, on_slot: SlotTaker | None = None
+        self, request: ForwardRequest, on_slot: SlotAcceptor | None = None
     ) -> ForwardReply:
         """Sends a request and waits for its reply.
 
@@ -211,13 +211,13 @@
         if not call.reply.done():
             call.reply.set_result(reply)
 
-    def _download(self, request_id: int) -> PartBuffer:
+    def _download(self, request_id: int) -> BodyBuffer:
         def grant(size: int) -> None:
             if self.table.grant_credit(request_id, size):
                 self.stream.send(BodyCredit(request_id=request_id, bytes=size))
 
-        grants = Grants(grant, WINDOW_BYTES)
-        return PartBuffer(grants.on_read, lambda: self.give_up(request_id))
+        grants = ReceiveWindow(grant, WINDOW_BYTES)
+        return BodyBuffer(grants.on_read, lambda: self.give_up(request_id))
 
     def chunk(self, frame: BodyChunk) -> None:
         """Takes a part of an answer."""
@@ -285,7 +285,7 @@
     return error_reply(request.request_id, RequestError(kind))
 
 
-def _streamed(reply: ForwardReply, rest: PartBuffer) -> StreamedReply:
+def _streamed(reply: ForwardReply, rest: BodyBuffer) -> StreamedReply:
     return StreamedReply(
         request_id=reply.request_id,
         error=reply.error,
--- a/packages/pomelobank-node/src/pomelobank_node/_owner.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_owner.py
@@ -17,9 +17,9 @@
     WorkResult,
 )
 from pomelobank_node._admission_queue import AdmissionQueue, new_admission
-from pomelobank_node._bodies import when_ended, whole_request
+from pomelobank_node._bodies import read_full_request, with_end_callback
+from pomelobank_node._crash_detector import CrashDetector
 from pomelobank_node._crash_reports import CrashReports
-from pomelobank_node._crash_watch import CrashWatch
 from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._log_budget import LogBudget
 from pomelobank_node._logging import request_id
@@ -84,12 +84,12 @@
     Attributes:
         settings: Limits of requests.
         clock: Tells the time.
-        reports: Knows the requests that crash targets.
+        crash_reports: Knows the requests that crash targets.
         http_conventions: Names of the headers that the target understands.
         target: The target, None before it announced itself.
         pool: Connections to it.
         admission_queue: Where requests wait for a slot.
-        watch: Notices crashes of the target.
+        crash_detector: Notices crashes of the target.
         log_limiter: Bounds the lines that are logged.
         draining: Set when no new request is taken.
         shutdown_admission: Refuses requests that may outlast a stopping node.
@@ -97,21 +97,21 @@
 
     settings: RequestSettings
     clock: Clock
-    reports: CrashReports
+    crash_reports: CrashReports
     http_conventions: HttpConventions = attrs.field(factory=HttpConventions)
     target: Target | None = None
     pool: UpstreamPool | None = None
     admission_queue: AdmissionQueue = attrs.field()
-    watch: CrashWatch = attrs.field()
+    crash_detector: CrashDetector = attrs.field()
     log_limiter: LogBudget = attrs.field(factory=LogBudget)
     draining: bool = False
     shutdown_admission: ShutdownAdmission = attrs.field(
         factory=ShutdownAdmission
     )
 
-    @watch.default
-    def _new_watch(self) -> CrashWatch:
-        return CrashWatch(self.reports)
+    @crash_detector.default
+    def _new_watch(self) -> CrashDetector:
+        return CrashDetector(self.crash_reports)
 
     @admission_queue.default
     def _new_gate(self) -> AdmissionQueue:
@@ -206,7 +206,7 @@
         now_ms = self.clock.now_ms()
         if not self.shutdown_admission.accepts(request.remaining_ms, now_ms):
             raise RequestError(ErrorKind.DRAINING)
-        standing = self.reports.check(request)
+        standing = self.crash_reports.check(request)
         ticket = AdmissionRequest(
             _traffic_class(request),
             request.route,
@@ -248,14 +248,14 @@
                 result = _RESULTS.get(error.kind, result)
             self.admission_queue.release(ticket, result)
             raise
-        return when_ended(
+        return with_end_callback(
             reply, lambda: self.admission_queue.release(ticket, result)
         )
 
     async def _run_watched(
         self, pool: UpstreamPool, request: ForwardRequest
     ) -> ForwardReply:
-        with self.watch.watching(request):
+        with self.crash_detector.track(request):
             try:
                 reply = await call_target(
                     pool,
@@ -266,9 +266,11 @@
                 )
             except RequestError as error:
                 if error.kind in _BROKEN and self.target is not None:
-                    await self.watch.connection_broke(self.target.address)
+                    await self.crash_detector.on_connection_lost(
+                        self.target.address
+                    )
                 raise
-        self.reports.ran(request)
+        self.crash_reports.on_request_completed(request)
         return reply
 
     def _is_shed(self, ticket: AdmissionRequest, reply: ForwardReply) -> bool:
@@ -313,7 +315,7 @@
 async def _with_body(request: ForwardRequest) -> ForwardRequest:
     try:
         async with asyncio.timeout(_BODY_S):
-            return await whole_request(request)
+            return await read_full_request(request)
     except TimeoutError:
         raise RequestError(ErrorKind.OVERLOADED) from None
 
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
@@ -8,7 +8,7 @@
 
 from pomelobank_core import ErrorKind
 from pomelobank_node._frames import FrameStream
-from pomelobank_node._outgoing_stream import OutgoingStream, SlotTaker
+from pomelobank_node._outgoing_stream import OutgoingStream, SlotAcceptor
 from pomelobank_node._requests import (
     ForwardReply,
     ForwardRequest,
@@ -136,7 +136,7 @@
         outgoing.stream.send(message)
 
     async def forward(
-        self, request: ForwardRequest, on_slot: SlotTaker | None = None
+        self, request: ForwardRequest, on_slot: SlotAcceptor | None = None
     ) -> ForwardReply:
         """Sends a request and waits for its reply.
 
@@ -173,7 +173,7 @@
             remaining_ms=request.remaining_ms - taken_ms,
         )
 
-    def drop(self) -> None:
+    def disconnect(self) -> None:
         """Gives up the stream; what waits for it ends as lost."""
         current, self.current = self.current, None
         if current is not None:
@@ -244,11 +244,11 @@
         link = self.links.get(address)
         return link is not None and link.current is not None
 
-    def drop(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Gives up the stream to a peer that is held to be gone."""
         link = self.links.get(address)
         if link is not None:
-            link.drop()
+            link.disconnect()
 
     def close_idle(self, idle_ms: int) -> None:
         """Closes the streams that carry no request and were long unused."""
@@ -256,7 +256,7 @@
         since_s = now_s - idle_ms / _MS_PER_S
         for address, link in list(self.links.items()):
             if link.is_idle(since_s):
-                link.drop()
+                link.disconnect()
             elif link.is_forgotten(since_s):
                 # Each restart of a peer brings a new address; without this
                 # the links to the old ones would pile up.
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
@@ -10,11 +10,11 @@
 from pomelobank_core import ErrorKind, FrameAge
 from pomelobank_node._bodies import (
     WINDOW_BYTES,
-    PartBuffer,
+    BodyBuffer,
     rest_of,
     with_rest,
 )
-from pomelobank_node._body_frames import Credit, Grants, send_rest
+from pomelobank_node._body_frames import Credit, ReceiveWindow, send_rest
 from pomelobank_node._frames import FrameStream
 from pomelobank_node._membership import Membership
 from pomelobank_node._owner import Owner
@@ -86,8 +86,8 @@
         grants: What the peer may send.
     """
 
-    buffer: PartBuffer
-    grants: Grants
+    buffer: BodyBuffer
+    grants: ReceiveWindow
 
 
 @attrs.define(eq=False)
@@ -104,12 +104,12 @@
         running: Tasks of the peer's requests, by request id.
         uploads: Bodies on their way in, by request id.
         credits: What the peer granted for answers, by request id.
-        offers: Slots that were offered to the peer, by request id.
+        slot_offers: Slots that were offered to the peer, by request id.
         age: Tells how old the peer's frames are.
         last_id: Highest request id taken.
         closing: Whether the peer was told that later ones are not taken.
         duplicates: Requests whose id had been used.
-        aged: Requests that came after their deadline.
+        expired: Requests that came after their deadline.
         late_frames: Frames of requests that had ended.
     """
 
@@ -121,12 +121,12 @@
     running: dict[int, asyncio.Task[None]] = attrs.field(factory=dict)
     uploads: dict[int, Upload] = attrs.field(factory=dict)
     credits: dict[int, Credit] = attrs.field(factory=dict)
-    offers: dict[int, asyncio.Future[None]] = attrs.field(factory=dict)
+    slot_offers: dict[int, asyncio.Future[None]] = attrs.field(factory=dict)
     age: FrameAge = attrs.field(factory=FrameAge)
     last_id: int = 0
     closing: bool = False
     duplicates: int = 0
-    aged: int = 0
+    expired: int = 0
     late_frames: int = 0
 
     async def run(self) -> None:
@@ -158,7 +158,7 @@
             # This process or the peer was paused, or the network held the
             # frame. Its caller has been answered; running it now could only
             # do harm.
-            self.aged += 1
+            self.expired += 1
             self._refuse(request, ErrorKind.DEADLINE_NOT_RUN)
             return
         if len(self.running) >= MAX_RUNNING:
@@ -218,12 +218,12 @@
 
     async def _offer_slot(self, request_id: int) -> bool:
         accepted = asyncio.get_running_loop().create_future()
-        self.offers[request_id] = accepted
+        self.slot_offers[request_id] = accepted
         self.stream.send(SlotOffer(request_id=request_id))
         try:
             await accepted
         finally:
-            del self.offers[request_id]
+            del self.slot_offers[request_id]
         return True
 
     def _with_rest(self, request: ForwardRequest) -> ForwardRequest:
@@ -232,8 +232,8 @@
         def grant(size: int) -> None:
             self.stream.send(BodyCredit(request_id=request_id, bytes=size))
 
-        grants = Grants(grant, 0)
-        buffer = PartBuffer(
+        grants = ReceiveWindow(grant, 0)
+        buffer = BodyBuffer(
             grants.on_read, lambda: self._upload_closed(request_id)
         )
         self.uploads[request_id] = Upload(buffer, grants)
@@ -248,7 +248,7 @@
         if upload is None:
             self.late_frames += 1
             return
-        if not upload.grants.take(len(frame.data)):
+        if not upload.grants.consume(len(frame.data)):
             raise SchemaError(
                 SchemaErrorKind.OUT_OF_RANGE, "", "more bytes than granted"
             )
@@ -276,13 +276,13 @@
 
     def accept(self, request_id: int) -> None:
         """Lets a request run in the slot that the peer was offered."""
-        accepted = self.offers.get(request_id)
+        accepted = self.slot_offers.get(request_id)
         if accepted is None or accepted.done():
             self.late_frames += 1
             return
         accepted.set_result(None)
 
-    def say_closing(self) -> None:
+    def announce_closing(self) -> None:
         """Tells the peer that later requests will not be taken."""
         self.closing = True
         self.stream.send(StreamClosing(last_request_id=self.last_id))
@@ -341,7 +341,7 @@
 
 @handle_frame.register
 def _(frame: CrashReport, connection: PeerConnection) -> None:
-    connection.owner.reports.receive(frame)
+    connection.owner.crash_reports.receive(frame)
 
 
 @handle_frame.register(RecordsPull)
@@ -424,7 +424,7 @@
             self.server.close()
         connections = list(self.connections)
         for connection in connections:
-            connection.say_closing()
+            connection.announce_closing()
         await self._wait_for_replies()
         await asyncio.gather(*(item.stream.close() for item in connections))
         tasks = list(self.connections.values())
--- a/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
@@ -32,11 +32,11 @@
 from pomelobank_node._log import Log
 from pomelobank_node._log_output import BoundedOutput
 from pomelobank_node._membership import Membership
-from pomelobank_node._metrics_page import MetricsPage
+from pomelobank_node._metrics_handler import MetricsHandler
 from pomelobank_node._owner import Owner
 from pomelobank_node._peer_links import PeerLinks
 from pomelobank_node._peer_server import PeerServer
-from pomelobank_node._stop_turn import StopTurn
+from pomelobank_node._stop_delay import StopDelay
 from pomelobank_node._target_watch import REJECT_AFTER_MS, TargetWatch
 from pomelobank_node.callers import CallerServer, Handler, Ingress
 from pomelobank_node.published import (
@@ -75,7 +75,7 @@
 
 
 @attrs.define(eq=False)
-class SidecarPorts:
+class PlatformAdapter:
     """What differs from platform to platform.
 
     Attributes:
@@ -83,10 +83,10 @@
         log: Where first contacts are announced.
         source: Where configurations are published.
         decode: Reads a published configuration.
-        ready_page: Makes the handler of the platform's question whether
-            callers may be sent to a node.
-        control_page: Makes the handler of the target's announcements.
-        parts: Further parts to start first and stop last.
+        new_readiness_handler: Makes the handler of the platform's question
+            whether callers may be sent to a node.
+        new_control_handler: Makes the handler of the target's announcements.
+        components: Further parts to start first and stop last.
         listener: Socket already listening for callers; None to open one.
     """
 
@@ -94,9 +94,9 @@
     log: Log
     source: PublishedSource
     decode: Decoder
-    ready_page: Callable[["SidecarNode"], Handler]
-    control_page: Callable[["SidecarNode"], Handler]
-    parts: tuple[Component, ...] = ()
+    new_readiness_handler: Callable[["SidecarNode"], Handler]
+    new_control_handler: Callable[["SidecarNode"], Handler]
+    components: tuple[Component, ...] = ()
     listener: socket.socket | None = None
 
 
@@ -106,18 +106,18 @@
 
     Attributes:
         settings: Its settings.
-        ports: What differs from platform to platform.
+        adapter: What differs from platform to platform.
         stopping: Whether it was told to stop.
-        started: Parts to stop, in the order of their start.
+        started_components: Parts to stop, in the order of their start.
     """
 
     settings: NodeSettings
-    ports: SidecarPorts
+    adapter: PlatformAdapter
     stopping: bool = False
-    started: list[Component] = attrs.field(factory=list)
+    started_components: list[Component] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        settings, ports = self.settings, self.ports
+        settings, ports = self.settings, self.adapter
         self.clock = SystemClock()
         identity = Identity.of(settings, self.clock)
         self.store = PublishedStore(ports.decode)
@@ -155,7 +155,7 @@
         self._build_servers()
 
     def _build_request_path(self) -> None:
-        settings, dialect = self.settings, self.ports.http_conventions
+        settings, dialect = self.settings, self.adapter.http_conventions
         self.forwarder = Forwarder(
             self.table,
             self.owner,
@@ -167,7 +167,7 @@
                 new_budget=self._new_budget, free_rejections=True
             ),
             hedging=Hedging(),
-            line_bytes_per_ms=settings.line_mbps * _BYTES_PER_MBIT_MS
+            uplink_bytes_per_ms=settings.line_mbps * _BYTES_PER_MBIT_MS
             or math.inf,
         )
         self.dispatcher = Dispatcher(
@@ -177,7 +177,7 @@
             exact_weights=True,
             shutdown_admission=self.owner.shutdown_admission,
         )
-        self.stop_turn = StopTurn(
+        self.stop_delay = StopDelay(
             self.membership,
             self.owner.admission_queue,
             self.clock,
@@ -197,7 +197,7 @@
         )
 
     def _build_servers(self) -> None:
-        listen, ports = self.settings.listen, self.ports
+        listen, ports = self.settings.listen, self.adapter
         self.http = CallerServer(
             listen.http,
             self.ingress,
@@ -205,11 +205,15 @@
             auto_check_timeouts=False,
             listener=ports.listener,
         )
-        self.ready = CallerServer(
-            listen.ready, ports.ready_page(self), auto_check_timeouts=False
+        self.readiness_server = CallerServer(
+            listen.ready,
+            ports.new_readiness_handler(self),
+            auto_check_timeouts=False,
         )
-        self.control = CallerServer(
-            listen.control, ports.control_page(self), auto_check_timeouts=False
+        self.control_server = CallerServer(
+            listen.control,
+            ports.new_control_handler(self),
+            auto_check_timeouts=False,
         )
         self.peers = PeerServer(
             listen.peer, self.owner, self.membership, self.feed, None
@@ -218,29 +222,29 @@
         self.membership.on_tick += [self.feed.tend, self._sweep]
 
     def _sweep(self, _: int) -> None:
-        for server in (self.http, self.ready, self.control):
+        for server in (self.http, self.readiness_server, self.control_server):
             server.check_timeouts()
 
     async def serve_metrics(self, output: BoundedOutput) -> None:
         """Serves the metrics, where the settings name an address for them."""
         if self.settings.listen.metrics:
-            page = MetricsPage(self, output)
+            page = MetricsHandler(self, output)
             await self._start(CallerServer(self.settings.listen.metrics, page))
 
     @property
     def log(self) -> Log:
         """Where first contacts are announced."""
-        return self.ports.log
+        return self.adapter.log
 
     @property
-    def serves(self) -> bool:
+    def accepts_callers(self) -> bool:
         """Whether callers may be sent here."""
         return self.store.ready and not self.stopping
 
     async def start(self) -> None:
         """Starts every part; the first requests are taken at the end."""
         for part in (
-            *self.ports.parts,
+            *self.adapter.components,
             self.links,
             self.crash_reports,
             self.peers,
@@ -250,14 +254,14 @@
         self.table.update_own(peer_address=advertised or self.peers.address)
         for part in (
             self.target,
-            self.control,
+            self.control_server,
             self.feed,
             self.membership,
             self.limits,
-            self.ready,
+            self.readiness_server,
         ):
             await self._start(part)
-        if self.ports.listener is not None:
+        if self.adapter.listener is not None:
             await self._wait_for_config()
         await self._start(self.http)
         _logger.info(
@@ -265,7 +269,7 @@
             extra={
                 "callers": self.http.address,
                 "peers": self.peers.address,
-                "control": self.control.address,
+                "control": self.control_server.address,
                 "incarnation": self.table.own.incarnation,
                 "first_start": self.settings.first_start,
             },
@@ -281,9 +285,9 @@
 
     async def _start(self, part: Component) -> None:
         await part.start()
-        self.started.append(part)
+        self.started_components.append(part)
 
-    def apply(self, settings: NodeSettings) -> None:
+    def apply_settings(self, settings: NodeSettings) -> None:
         """Takes over what may change while the node runs."""
         self.settings = settings
         self.ingress.origin = settings.target.upstream
@@ -304,7 +308,7 @@
         routed_ms = min(ROUTED_AWAY_MS, grace_ms // 2)
         news_ms = min(NEWS_MS, routed_ms // 4)
         await self._sleep_until(begun_ms + routed_ms - news_ms)
-        await self.stop_turn.wait(begun_ms + routed_ms, end_ms, news_ms)
+        await self.stop_delay.wait(begun_ms + routed_ms, end_ms, news_ms)
         closed_ms = self.clock.now_ms()
         await self.target.close()
         await self._sleep_until(max(begun_ms + routed_ms, closed_ms + news_ms))
@@ -322,7 +326,7 @@
         _logger.info("node.stopped")
 
     async def _stop_parts(self, until_ms: int) -> None:
-        for part in reversed(self.started):
+        for part in reversed(self.started_components):
             left_ms = max(0, until_ms - self.clock.now_ms())
             try:
                 async with asyncio.timeout(left_ms / _MS_PER_S):
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_sockets.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_socket_options.py
@@ -17,7 +17,7 @@
 _TRIES = 2
 
 
-def notice_dead_peer(transport: asyncio.BaseTransport) -> None:
+def enable_dead_peer_detection(transport: asyncio.BaseTransport) -> None:
     """Lets the kernel break a connection whose other end is silent for good."""
     link = transport.get_extra_info("socket")
     if link is None:
--- a/packages/pomelobank-node/src/pomelobank_node/_stop_turn.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_stop_delay.py
@@ -20,7 +20,7 @@
 
 
 @attrs.define(eq=False)
-class StopTurn:
+class StopDelay:
     """Applies the stop order to a node that is shutting down.
 
     Attributes:
--- a/packages/pomelobank-node/src/pomelobank_node/_target_call.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_call.py
@@ -18,7 +18,7 @@
     RequestError,
 )
 from pomelobank_node._upstream_client import (
-    LONGEST_IDLE_S,
+    MAX_IDLE_S,
     ExpectedId,
     UpstreamPool,
     UpstreamResponse,
@@ -76,7 +76,7 @@
         rest,
         chunked=more and content_length(headers) is None,
         expected_id=expected,
-        max_idle_s=(LONGEST_IDLE_S if request.idempotent else RUNS_ONCE_IDLE_S),
+        max_idle_s=(MAX_IDLE_S if request.idempotent else RUNS_ONCE_IDLE_S),
     )
     _check(answer, dialect)
     return _reply(request, answer, outstanding)
--- a/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
@@ -78,7 +78,9 @@
             await asyncio.gather(self.refusing, return_exceptions=True)
             self.refusing = None
 
-    async def take(self, announcement: TargetAnnouncement) -> None:
+    async def handle_announcement(
+        self, announcement: TargetAnnouncement
+    ) -> None:
         """Takes an announcement of the target."""
         # A process that has just started knows nothing of what the one before
         # it has acknowledged; the log does.
@@ -157,7 +159,7 @@
             )
         self.membership.gossip_own_entry()
 
-    async def leave(self, departure: DepartureRecord) -> None:
+    async def handle_departure(self, departure: DepartureRecord) -> None:
         """Takes the word of a target that it leaves, which it says only once.
 
         Returns once the word is kept. Acknowledged before, it would be lost
@@ -188,7 +190,7 @@
         if target is None:
             await self._drain()
         else:
-            await self.leave(_departure_of(target))
+            await self.handle_departure(_departure_of(target))
 
     async def _drain(self) -> None:
         if self.lease.drain() is TargetChange.DRAINING:
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
@@ -26,7 +26,7 @@
 _CONNECT_TIMEOUT_S = 1.0
 # Servers commonly close connections after 5 s without a request. Staying well
 # below keeps a request from meeting a connection that is about to be closed.
-LONGEST_IDLE_S = 2.0
+MAX_IDLE_S = 2.0
 
 
 @attrs.define(eq=False)
@@ -73,7 +73,7 @@
         rest: BodySource | None = None,
         chunked: bool = False,
         expected_id: ExpectedId | None = None,
-        max_idle_s: float = LONGEST_IDLE_S,
+        max_idle_s: float = MAX_IDLE_S,
     ) -> UpstreamResponse:
         """Sends one request and waits for its answer.
 
@@ -97,7 +97,7 @@
         connection = await self._take(deadline_s, max_idle_s)
         # A process that was paused finds its deadline passed only now.
         if deadline_s is not None and self.loop.time() >= deadline_s:
-            self.give_back(connection)
+            self.release(connection)
             raise RequestError(ErrorKind.DEADLINE_NOT_RUN)
         future = connection.send(data, deadline_s, expected_id)
         if rest is not None:
@@ -125,7 +125,7 @@
         return await self._connect(deadline_s)
 
     def _close_stale(self, now_s: float) -> None:
-        while self.idle and now_s - self.idle[0].idle_since_s > LONGEST_IDLE_S:
+        while self.idle and now_s - self.idle[0].idle_since_s > MAX_IDLE_S:
             self.stale_connections += 1
             self.idle.popleft().close()
 
@@ -146,7 +146,7 @@
             raise RequestError(ErrorKind.UPSTREAM_UNREACHABLE) from None
         return connection
 
-    def give_back(self, connection: UpstreamConnection) -> None:
+    def release(self, connection: UpstreamConnection) -> None:
         """Takes a connection whose request has ended."""
         if self.closed:
             connection.close()
@@ -154,7 +154,7 @@
             connection.idle_since_s = self.loop.time()
             self.idle.append(connection)
 
-    def forget(self, connection: UpstreamConnection) -> None:
+    def remove(self, connection: UpstreamConnection) -> None:
         """Drops a connection that was closed."""
         if connection in self.idle:
             self.idle.remove(connection)
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
@@ -11,10 +11,10 @@
 
 from pomelobank_core import ErrorKind
 from pomelobank_node._bodies import (
-    INLINE_BYTES,
+    MAX_INLINE_BODY_BYTES,
     WINDOW_BYTES,
+    BodyBuffer,
     BodySource,
-    PartBuffer,
 )
 from pomelobank_node._http_messages import (
     LAST_CHUNK,
@@ -23,8 +23,8 @@
     encode_chunk,
     find_header,
 )
-from pomelobank_node._peer_sockets import notice_dead_peer
 from pomelobank_node._requests import Headers, RequestError
+from pomelobank_node._socket_options import enable_dead_peer_detection
 
 _FIRST_FINAL_STATUS = 200
 _HEAD = b"HEAD "
@@ -57,7 +57,7 @@
     status: int
     headers: Headers
     body: bytes
-    rest: PartBuffer | None = None
+    rest: BodyBuffer | None = None
 
 
 class ConnectionPool(Protocol):
@@ -72,10 +72,10 @@
     max_body_bytes: int
     allows_close_delimited: bool
 
-    def give_back(self, connection: UpstreamConnection) -> None:
+    def release(self, connection: UpstreamConnection) -> None:
         """Takes a connection whose request has ended."""
 
-    def forget(self, connection: UpstreamConnection) -> None:
+    def remove(self, connection: UpstreamConnection) -> None:
         """Drops a connection that was closed."""
 
 
@@ -103,7 +103,7 @@
         self.open = False
         self.idle_since_s = 0.0
         self.future: asyncio.Future[UpstreamResponse] | None = None
-        self.rest: PartBuffer | None = None
+        self.rest: BodyBuffer | None = None
         self.upload: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.uploading = False
@@ -130,7 +130,7 @@
         self.transport = transport
         self.loop = asyncio.get_running_loop()
         self.open = True
-        notice_dead_peer(transport)
+        enable_dead_peer_detection(transport)
         sock = transport.get_extra_info("socket")
         self.poll.register(sock.fileno(), select.POLLIN)
 
@@ -231,7 +231,7 @@
         """Ends the request under way."""
         self.open = False
         self.write_ready.set()
-        self.pool.forget(self)
+        self.pool.remove(self)
         self.fail(
             ErrorKind.ANSWER_TRUNCATED
             if self.started
@@ -299,15 +299,15 @@
             self._pass_on(self.rest, data)
         else:
             self.chunks.append(data)
-            if self.size > INLINE_BYTES:
+            if self.size > MAX_INLINE_BODY_BYTES:
                 self._begin_rest()
 
     def _begin_rest(self) -> None:
-        rest = PartBuffer(self._was_read, lambda: self._rest_closed(rest))
+        rest = BodyBuffer(self._was_read, lambda: self._rest_closed(rest))
         self.rest = rest
         self._answer(rest)
 
-    def _pass_on(self, rest: PartBuffer, data: bytes) -> None:
+    def _pass_on(self, rest: BodyBuffer, data: bytes) -> None:
         rest.put(data)
         if rest.size > WINDOW_BYTES and self.transport is not None:
             # The caller reads more slowly than the target writes.
@@ -320,7 +320,7 @@
         if rest.size <= WINDOW_BYTES // 2:
             transport.resume_reading()
 
-    def _rest_closed(self, rest: PartBuffer) -> None:
+    def _rest_closed(self, rest: BodyBuffer) -> None:
         # The connection may carry another request by now.
         if self.rest is rest:
             self.close()
@@ -356,9 +356,9 @@
             self.close()
             return
         self._reset()
-        self.pool.give_back(self)
+        self.pool.release(self)
 
-    def _answer(self, rest: PartBuffer | None) -> None:
+    def _answer(self, rest: BodyBuffer | None) -> None:
         answer = UpstreamResponse(
             self.parser.get_status_code(),
             self.headers,
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
@@ -16,7 +16,11 @@
 import httptools
 
 from pomelobank_core import ErrorKind
-from pomelobank_node._bodies import INLINE_BYTES, WINDOW_BYTES, PartBuffer
+from pomelobank_node._bodies import (
+    MAX_INLINE_BODY_BYTES,
+    WINDOW_BYTES,
+    BodyBuffer,
+)
 from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._http_messages import (
     LAST_CHUNK,
@@ -204,7 +208,7 @@
             exchange.upload.put(data)
         else:
             exchange.parts.append(data)
-            if exchange.size > INLINE_BYTES:
+            if exchange.size > MAX_INLINE_BODY_BYTES:
                 self._start_upload(exchange)
 
     def on_message_complete(self) -> None:
@@ -274,7 +278,7 @@
         self.ended = True
 
     def _start_upload(self, exchange: Exchange) -> None:
-        exchange.upload = PartBuffer(
+        exchange.upload = BodyBuffer(
             lambda _: self._adjust_reading(), lambda: None
         )
         self._start(exchange)
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_exchange.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_exchange.py
@@ -5,7 +5,7 @@
 import attrs
 
 from pomelobank_core import ErrorKind
-from pomelobank_node._bodies import PartBuffer
+from pomelobank_node._bodies import BodyBuffer
 from pomelobank_node.callers._messages import HttpRequest, HttpResponse
 
 
@@ -31,7 +31,7 @@
     keep_alive: bool
     parts: list[bytes] = attrs.field(factory=list)
     size: int = 0
-    upload: PartBuffer | None = None
+    upload: BodyBuffer | None = None
     task: asyncio.Task[None] | None = None
     response: HttpResponse | None = None
 
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
@@ -9,7 +9,7 @@
 import attrs
 
 from pomelobank_core import Clock, ErrorKind
-from pomelobank_node._bodies import KEYED_BYTES, BodySource, rest_of
+from pomelobank_node._bodies import MAX_KEYED_BODY_BYTES, BodySource, rest_of
 from pomelobank_node._dispatcher import CallerRequest, Dispatcher
 from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._http_messages import (
@@ -133,7 +133,7 @@
         request_id.set(trace_id)
         if request.rest is not None and key:
             raise RequestError(ErrorKind.BODY_TOO_LARGE)
-        if key and len(request.body) > KEYED_BYTES:
+        if key and len(request.body) > MAX_KEYED_BODY_BYTES:
             raise RequestError(ErrorKind.BODY_TOO_LARGE)
         return CallerRequest(
             service=self._service(headers),
--- a/packages/pomelobank-node/src/pomelobank_node/parts.py
+++ b/packages/pomelobank-node/src/pomelobank_node/platform_api.py
@@ -1,11 +1,11 @@
 """The parts from which a node is assembled on another platform."""
 
-from pomelobank_node._event_loop import run_program, spare_collections
+from pomelobank_node._event_loop import run_program, tune_garbage_collector
 from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node._log import Log, LogError, LogErrorKind, LogPage
 from pomelobank_node._logging import set_up_logging
 from pomelobank_node._requests import RequestError
-from pomelobank_node._sidecar import SidecarNode, SidecarPorts
+from pomelobank_node._sidecar import PlatformAdapter, SidecarNode
 from pomelobank_node._upstream_client import (
     UpstreamPool,
     UpstreamResponse,
@@ -35,16 +35,16 @@
     "LogError",
     "LogErrorKind",
     "LogPage",
+    "PlatformAdapter",
     "PublishedConfig",
     "PublishedSource",
     "RequestError",
     "SidecarNode",
-    "SidecarPorts",
     "SourceError",
     "UpstreamPool",
     "UpstreamResponse",
     "encode_request",
     "run_program",
     "set_up_logging",
-    "spare_collections",
+    "tune_garbage_collector",
 ]
--- a/packages/pomelobank-node/src/pomelobank_node/published/_feed.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_feed.py
@@ -270,7 +270,7 @@
     async def _next_document(self) -> Document | None:
         if self.position is None:
             return await self.source.newest()
-        return await self.source.following(self.position, LONG_POLL_MS)
+        return await self.source.newest_after(self.position, LONG_POLL_MS)
 
     def _note_source(self, up: bool, reason: str = "") -> None:
         if not up:
--- a/packages/pomelobank-node/src/pomelobank_node/published/_source.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_source.py
@@ -46,7 +46,9 @@
             SourceError: If the source does not answer.
         """
 
-    async def following(self, position: int, wait_ms: int) -> Document | None:
+    async def newest_after(
+        self, position: int, wait_ms: int
+    ) -> Document | None:
         """Waits for configurations after a position and returns the newest.
 
         Args:
--- a/packages/pomelobank-node/src/pomelobank_node/published/tests/test_hand_over.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/tests/test_hand_over.py
@@ -75,7 +75,9 @@
     async def newest(self) -> Document | None:
         return await self._read(0, 0.0)
 
-    async def following(self, position: int, wait_ms: int) -> Document | None:
+    async def newest_after(
+        self, position: int, wait_ms: int
+    ) -> Document | None:
         return await self._read(position, wait_ms / 1000)
 
     async def _read(self, position: int, wait_s: float) -> Document | None:
--- a/packages/pomelobank-node/src/pomelobank_node/published/tests/test_published.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/tests/test_published.py
@@ -68,7 +68,9 @@
     async def newest(self) -> Document | None:
         return await self._next(None)
 
-    async def following(self, position: int, wait_ms: int) -> Document | None:
+    async def newest_after(
+        self, position: int, wait_ms: int
+    ) -> Document | None:
         return await self._next(position)
 
     async def _next(self, position: int | None) -> Document | None:
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_bodies.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_bodies.py
@@ -4,19 +4,19 @@
 
 from pomelobank_core import ErrorKind
 from pomelobank_node._bodies import (
-    PartBuffer,
+    BodyBuffer,
     StreamedReply,
-    can_be_sent_again,
+    can_resend,
+    read_full_reply,
     rest_of,
-    when_ended,
-    whole_reply,
+    with_end_callback,
     with_rest,
 )
 from pomelobank_node._requests import ForwardRequest, RequestError
 
 
-def buffer(*parts: bytes) -> PartBuffer:
-    made = PartBuffer(lambda _: None, lambda: None)
+def buffer(*parts: bytes) -> BodyBuffer:
+    made = BodyBuffer(lambda _: None, lambda: None)
     for part in parts:
         made.put(part)
     made.end()
@@ -30,17 +30,17 @@
     """
     rest = buffer(b"second")
     request = with_rest(ForwardRequest(body=b"first"), rest)
-    assert can_be_sent_again(request)
+    assert can_resend(request)
     await rest.read()
-    assert not can_be_sent_again(request)
+    assert not can_resend(request)
 
 
 async def test_whole_reply_has_a_bound() -> None:
     reply = StreamedReply(status=200, body=b"ab", rest=buffer(b"cd", b"ef"))
-    assert (await whole_reply(reply, 6)).body == b"abcdef"
+    assert (await read_full_reply(reply, 6)).body == b"abcdef"
     reply = StreamedReply(status=200, body=b"ab", rest=buffer(b"cd", b"ef"))
     with pytest.raises(RequestError) as caught:
-        await whole_reply(reply, 5)
+        await read_full_reply(reply, 5)
     assert caught.value.kind is ErrorKind.ANSWER_TOO_LARGE
 
 
@@ -50,7 +50,7 @@
     A slot given away at the head lets a planned stop cut the archive off.
     """
     ends: list[str] = []
-    reply = when_ended(
+    reply = with_end_callback(
         StreamedReply(status=200, rest=buffer(b"a")),
         lambda: ends.append("end"),
     )
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_crash_containment.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_crash_containment.py
@@ -94,7 +94,7 @@
             )
         )
         # The next send of this test comes after the news.
-        await asyncio.gather(*self.owners[number].reports.tasks)
+        await asyncio.gather(*self.owners[number].crash_reports.tasks)
         return reply
 
 
@@ -142,7 +142,7 @@
     pair.owners[1].set_target(Target("stock", address, 10))
     pair.targets[1].release.set()
     assert (await pair.send(1, "/hold")).status == 200
-    tables = [owner.reports.table for owner in pair.owners]
+    tables = [owner.crash_reports.table for owner in pair.owners]
     assert [table.cleared for table in tables] == [1, 1]
     assert [len(table.entries) for table in tables] == [1, 1]
 
@@ -151,11 +151,11 @@
     """A suspect comes while others are at the target, and others follow."""
     held = asyncio.create_task(pair.send(0, "/hold"))
     await pair.targets[0].held.wait()
-    reports = pair.owners[0].reports
+    reports = pair.owners[0].crash_reports
     suspect = ForwardRequest(
         route="stock", method="GET", target=b"/suspect", upstream="stock"
     )
-    reports.target_lost([suspect])
+    reports.on_target_lost([suspect])
     assert reports.check(suspect) is QuarantineState.SUSPECT
     tasks = [
         asyncio.create_task(pair.send(0, path))
@@ -177,4 +177,4 @@
     await pair.targets[0].held.wait()
     pair.targets[0].writers[0].transport.abort()
     assert (await held).error == "upstream_lost"
-    assert not pair.owners[0].reports.table.entries
+    assert not pair.owners[0].crash_reports.table.entries
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_event_loop.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_event_loop.py
@@ -6,8 +6,8 @@
 import pytest
 
 from pomelobank_node._event_loop import (
-    MOST_SKIPPED,
-    SparingSelector,
+    MAX_SKIPPED_POLLS,
+    PollSkippingSelector,
     run_program,
 )
 
@@ -26,14 +26,16 @@
     asked = 0
     select = selectors.DefaultSelector.select
 
-    def counted(self: SparingSelector, timeout: float | None = None) -> object:
+    def counted(
+        self: PollSkippingSelector, timeout: float | None = None
+    ) -> object:
         nonlocal asked
         asked += 1
         return select(self, timeout)
 
     monkeypatch.setattr(selectors.DefaultSelector, "select", counted)
     run_program(turn(TURNS))
-    assert asked <= 2 * TURNS / MOST_SKIPPED
+    assert asked <= 2 * TURNS / MAX_SKIPPED_POLLS
 
 
 def test_events_come_in_while_callbacks_are_always_ready() -> None:
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_forwarder.py
@@ -169,11 +169,11 @@
     """
     links = ScriptedLinks(LOST)
     forwarder = _forwarder(links)
-    reports = forwarder.owner.reports
+    reports = forwarder.owner.crash_reports
 
     def crash_alone_twice() -> None:
-        reports.target_lost([links.sent[0]])
-        reports.target_lost([links.sent[0]])
+        reports.on_target_lost([links.sent[0]])
+        reports.on_target_lost([links.sent[0]])
 
     links.before = crash_alone_twice
     reply = await forwarder.forward(_request(True))
@@ -291,7 +291,7 @@
     """
     links = SilentLinks(1, ANSWER)
     forwarder = _hedging(links)
-    forwarder.owner.reports.target_lost([_request(True)])
+    forwarder.owner.crash_reports.on_target_lost([_request(True)])
     asked = asyncio.create_task(forwarder.forward(_request(True)))
     _, pending = await asyncio.wait({asked}, timeout=0.2)
     assert pending
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_held_back_bodies.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_held_back_bodies.py
@@ -8,9 +8,9 @@
 
 from pomelobank_core import ErrorKind
 from pomelobank_node._bodies import (
-    HeldBackBody,
-    PartBuffer,
-    whole_request,
+    BodyBuffer,
+    DeferredBody,
+    read_full_request,
     with_rest,
 )
 from pomelobank_node._crash_reports import request_fingerprint
@@ -72,12 +72,12 @@
     """Guards against bodies sent to one full target after the other."""
     peers = DecliningPeers()
     forwarder = _forwarder(peers, data_centre)
-    forwarder.line_bytes_per_ms = line_bytes_per_ms
+    forwarder.uplink_bytes_per_ms = line_bytes_per_ms
     reply = await forwarder.forward(REQUEST)
     assert reply.status == 200
     for sent in peers.sent:
         assert (sent.body == b"") is held_back
-        assert (await whole_request(sent)).body == BODY
+        assert (await read_full_request(sent)).body == BODY
 
 
 async def test_held_back_request_keeps_its_fingerprint() -> None:
@@ -89,15 +89,15 @@
 
 async def test_body_that_breaks_off_does_not_reach_the_target() -> None:
     """Guards against an order of which the end is missing."""
-    rest = PartBuffer(lambda _: None, lambda: None)
+    rest = BodyBuffer(lambda _: None, lambda: None)
     request = with_rest(attrs.evolve(REQUEST, body=b""), rest)
     rest.put(BODY[:100])
     rest.fail(ErrorKind.BODY_INCOMPLETE)
     with pytest.raises(RequestError):
-        await asyncio.wait_for(whole_request(request), 1)
+        await asyncio.wait_for(read_full_request(request), 1)
 
 
 async def test_held_back_body_is_read_once_for_each_try() -> None:
     """Guards against a second try that sends the body twice or not at all."""
-    body = HeldBackBody(BODY)
+    body = DeferredBody(BODY)
     assert [await body.read(), await body.read()] == [BODY, b""]
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_peer_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_peer_server.py
@@ -96,7 +96,7 @@
     assert owner.served[1].remaining_ms == 500 - 210
     (reply,) = connection.stream.sent
     assert reply.error == ErrorKind.DEADLINE_NOT_RUN.value
-    assert connection.aged == 1
+    assert connection.expired == 1
 
 
 async def test_request_that_comes_twice_runs_once(connection: Any) -> None:
@@ -133,7 +133,7 @@
     handle_frame(CancelRequest(request_id=1), connection)
     await step()
     assert [item.request_id for item in connection.owner.served] == [2]
-    assert not connection.offers
+    assert not connection.slot_offers
 
 
 async def test_slot_accepted_twice_or_never_offered(connection: Any) -> None:
@@ -211,7 +211,7 @@
 
 async def test_stop_names_the_last_request_taken(connection: Any) -> None:
     handle_frame(request(7), connection)
-    connection.say_closing()
+    connection.announce_closing()
     assert connection.stream.sent == [StreamClosing(last_request_id=7)]
 
 
@@ -226,7 +226,7 @@
     word, and at another target from 7.822 s on.
     """
     handle_frame(request(1), connection)
-    connection.say_closing()
+    connection.announce_closing()
     handle_frame(request(2), connection)
     await step()
     assert [item.request_id for item in connection.owner.served] == [1]
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_upstream_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_upstream_client.py
@@ -8,7 +8,7 @@
 import pytest
 
 from pomelobank_core import ErrorKind
-from pomelobank_node._bodies import INLINE_BYTES
+from pomelobank_node._bodies import MAX_INLINE_BODY_BYTES
 from pomelobank_node._requests import RequestError
 from pomelobank_node._upstream_client import (
     ExpectedId,
@@ -178,7 +178,7 @@
     target.answers = [head + body, OK]
     answer = await pool.request(GET)
     assert answer.rest is not None
-    assert INLINE_BYTES < len(answer.body) < len(body)
+    assert MAX_INLINE_BODY_BYTES < len(answer.body) < len(body)
     received = answer.body
     while part := await answer.rest.read():
         received += part
@@ -192,7 +192,7 @@
 ) -> None:
     """A target stalls while it sends an archive."""
     head = b"HTTP/1.1 200 OK\r\ncontent-length: 900000\r\n\r\n"
-    target.answers = [head + bytes(2 * INLINE_BYTES)]
+    target.answers = [head + bytes(2 * MAX_INLINE_BODY_BYTES)]
     deadline_s = asyncio.get_running_loop().time() + 0.2
     answer = await pool.request(GET, deadline_s)
     assert answer.rest is not None
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
@@ -119,7 +119,7 @@
 
 
 def _without_held_back_bodies(node: ModelNode) -> None:
-    node.forwarder.hold_back_bytes = sys.maxsize
+    node.forwarder.deferred_body_min_bytes = sys.maxsize
 
 
 def _without_hedging(node: ModelNode) -> None:
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
@@ -24,7 +24,7 @@
 from pomelobank_node._bodies import BodySource, rest_of, with_rest
 from pomelobank_node._crash_reports import CrashReports
 from pomelobank_node._forwarder import Forwarder
-from pomelobank_node._outgoing_stream import SlotTaker
+from pomelobank_node._outgoing_stream import SlotAcceptor
 from pomelobank_node._owner import Owner, Target
 from pomelobank_node._peer_links import PeerLinks
 from pomelobank_node._requests import (
@@ -112,7 +112,7 @@
     back: _Line
 
     async def forward(
-        self, request: ForwardRequest, on_slot: SlotTaker | None = None
+        self, request: ForwardRequest, on_slot: SlotAcceptor | None = None
     ) -> ForwardReply:
         async def offer_slot() -> bool:
             await asyncio.sleep(self.pause_s)
@@ -218,7 +218,7 @@
                 self.seeded, new_budget=self._budget, free_rejections=True
             ),
             hedging=Hedging(),
-            line_bytes_per_ms=self.pattern.line_bytes_per_s / _MS_PER_S
+            uplink_bytes_per_ms=self.pattern.line_bytes_per_s / _MS_PER_S
             or math.inf,
         )
         node = ModelNode(own.node, forwarder, owner)
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_target.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_target.py
@@ -7,7 +7,7 @@
 import attrs
 
 from pomelobank_core import ErrorKind
-from pomelobank_node.parts import RequestError, UpstreamResponse
+from pomelobank_node.platform_api import RequestError, UpstreamResponse
 from pomelobank_testing.experiment._patterns import (
     Pattern,
     RouteLoad,
