--- a/packages/pomelobank-core/src/pomelobank_core/__init__.py
+++ b/packages/pomelobank-core/src/pomelobank_core/__init__.py
@@ -22,6 +22,12 @@
         TrafficClass,
         WorkResult,
     )
+    from pomelobank_core._bootstrap_contacts import (
+        TAIL_RECORDS,
+        BootstrapContacts,
+        contacts_record,
+        maintains_contacts,
+    )
     from pomelobank_core._brief_work import BriefWork
     from pomelobank_core._caller_timeouts import (
         CallerTimeouts,
@@ -99,15 +105,6 @@
         deadline_error_kind,
         lost_error_kind,
     )
-    from pomelobank_core._first_contact import (
-        TAIL_RECORDS,
-        FirstContact,
-        contacts_record,
-        is_announcer,
-    )
-    from pomelobank_core._floor import (
-        VersionFloor,
-    )
     from pomelobank_core._hedging import (
         Hedging,
     )
@@ -122,6 +119,9 @@
         MemberState,
         MemberTable,
     )
+    from pomelobank_core._min_serving_version import (
+        MinServingVersion,
+    )
     from pomelobank_core._objects import (
         ConfigObject,
         ObjectKey,
@@ -145,7 +145,7 @@
         RankLoad,
     )
     from pomelobank_core._reading_order import (
-        READERS,
+        READER_COUNT,
         ReadingOrder,
         ReadingRole,
     )
@@ -154,7 +154,7 @@
         rendezvous_order,
     )
     from pomelobank_core._replay import (
-        ChangeVerdict,
+        ChangeDecision,
         ConfigState,
         advance,
         evaluate,
@@ -205,13 +205,13 @@
     )
     from pomelobank_core._stop_order import WORK_RESERVE_FACTOR, StopOrder
     from pomelobank_core._swim import (
-        Action,
-        Reply,
-        Send,
+        ReplyFrame,
+        SendFrame,
         Swim,
+        SwimAction,
     )
     from pomelobank_core._swim_frames import (
-        take_frame,
+        handle_frame,
     )
     from pomelobank_core._target_lease import (
         TargetChange,
@@ -235,21 +235,21 @@
     "MAX_ATTEMPTS",
     "POINTS_NODE_LOST",
     "POINTS_TARGET_LOST",
-    "READERS",
+    "READER_COUNT",
     "SHARD_COUNT",
     "TAIL_RECORDS",
     "WORK_RESERVE_FACTOR",
-    "Action",
     "Admission",
     "AdmissionDecision",
     "AdmissionPolicy",
     "AdmissionRequest",
+    "BootstrapContacts",
     "BriefWork",
     "Budget",
     "CallerTimeouts",
     "CandidateIndex",
     "Candidates",
-    "ChangeVerdict",
+    "ChangeDecision",
     "Claim",
     "ClaimAttempt",
     "ClaimAttemptState",
@@ -276,7 +276,6 @@
     "ExchangeTable",
     "FailedAttempt",
     "FirstCome",
-    "FirstContact",
     "FixedPartition",
     "FrameAge",
     "FrameDecision",
@@ -287,6 +286,7 @@
     "MemberState",
     "MemberTable",
     "MeshRetryBudget",
+    "MinServingVersion",
     "Neighbours",
     "ObjectKey",
     "ObjectKind",
@@ -306,7 +306,7 @@
     "ReadingRole",
     "Recovery",
     "Rejected",
-    "Reply",
+    "ReplyFrame",
     "RequestOutcome",
     "ResponseStore",
     "Retry",
@@ -315,8 +315,8 @@
     "RoundRobin",
     "RouteTable",
     "RunState",
-    "Send",
     "SendDigest",
+    "SendFrame",
     "ShutdownAdmission",
     "SlotLimit",
     "Snapshot",
@@ -325,13 +325,13 @@
     "StopOrder",
     "StoredResponse",
     "Swim",
+    "SwimAction",
     "TargetChange",
     "TargetLease",
     "TargetResult",
     "TrafficClass",
     "TwoChoices",
     "Unlimited",
-    "VersionFloor",
     "VersionedObject",
     "WorkResult",
     "abandon",
@@ -346,11 +346,12 @@
     "evaluate",
     "find_neighbours",
     "fingerprint",
-    "is_announcer",
+    "handle_frame",
     "is_departure_of",
     "is_idempotent",
     "isolation_target",
     "lost_error_kind",
+    "maintains_contacts",
     "object_key",
     "on_claim_seen",
     "on_run_ended",
@@ -369,7 +370,6 @@
     "skip_record",
     "snapshot_object_value",
     "snapshot_record",
-    "take_frame",
     "target_result",
     "usable_snapshot",
 ]
@@ -386,6 +386,12 @@
         "TrafficClass",
         "WorkResult",
     ),
+    "_bootstrap_contacts": (
+        "BootstrapContacts",
+        "TAIL_RECORDS",
+        "contacts_record",
+        "maintains_contacts",
+    ),
     "_brief_work": ("BriefWork",),
     "_caller_timeouts": ("CallerTimeouts",),
     "_candidates": (
@@ -455,13 +461,6 @@
         "deadline_error_kind",
         "lost_error_kind",
     ),
-    "_first_contact": (
-        "FirstContact",
-        "TAIL_RECORDS",
-        "contacts_record",
-        "is_announcer",
-    ),
-    "_floor": ("VersionFloor",),
     "_hedging": ("Hedging",),
     "_load_balancer": (
         "LoadBalancer",
@@ -474,6 +473,7 @@
         "MemberState",
         "MemberTable",
     ),
+    "_min_serving_version": ("MinServingVersion",),
     "_objects": (
         "ConfigObject",
         "ObjectKey",
@@ -497,7 +497,7 @@
         "RankLoad",
     ),
     "_reading_order": (
-        "READERS",
+        "READER_COUNT",
         "ReadingOrder",
         "ReadingRole",
     ),
@@ -506,7 +506,7 @@
         "rendezvous_order",
     ),
     "_replay": (
-        "ChangeVerdict",
+        "ChangeDecision",
         "ConfigState",
         "advance",
         "evaluate",
@@ -556,12 +556,12 @@
         "WORK_RESERVE_FACTOR",
     ),
     "_swim": (
-        "Action",
-        "Reply",
-        "Send",
+        "ReplyFrame",
+        "SendFrame",
         "Swim",
+        "SwimAction",
     ),
-    "_swim_frames": ("take_frame",),
+    "_swim_frames": ("handle_frame",),
     "_target_lease": (
         "TargetChange",
         "TargetLease",
--- a/packages/pomelobank-core/src/pomelobank_core/_first_contact.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_bootstrap_contacts.py
@@ -41,21 +41,21 @@
 
 
 @attrs.define(eq=False)
-class FirstContact:
+class BootstrapContacts:
     """Keeps the addresses that are worth a try.
 
     Attributes:
         random: Source of randomness.
         attempts: How often each address was tried.
         newest_at_ms: When the newest record that was read was written.
-        newest: Addresses that the newest record names.
+        newest_addresses: Addresses that the newest record names.
         skipped_records: Records that could not be read, for the metrics.
     """
 
     random: random.Random
     attempts: dict[str, int] = attrs.field(factory=dict)
     newest_at_ms: int = 0
-    newest: frozenset[str] = frozenset()
+    newest_addresses: frozenset[str] = frozenset()
     skipped_records: int = 0
 
     def add(self, addresses: Iterable[str]) -> None:
@@ -65,7 +65,7 @@
         while len(self.attempts) > _ADDRESS_LIMIT:
             del self.attempts[next(iter(self.attempts))]
 
-    def take_records(self, records: Iterable[bytes]) -> None:
+    def add_records(self, records: Iterable[bytes]) -> None:
         """Takes records from the end of the stream, in their order."""
         for data in records:
             self._take_record(data)
@@ -89,7 +89,7 @@
     def _take_contacts(self, addresses: list[str], at_ms: int) -> None:
         self.add(address for address in addresses if address)
         self.newest_at_ms = at_ms
-        self.newest = frozenset(addresses)
+        self.newest_addresses = frozenset(addresses)
 
     def next_addresses(self, own_address: str) -> list[str]:
         """Returns the addresses to try next, those tried least often first."""
@@ -103,7 +103,7 @@
             self.attempts[address] += 1
         return chosen
 
-    def strangers(self, known: Collection[str]) -> list[str]:
+    def next_unknown_addresses(self, known: Collection[str]) -> list[str]:
         """Returns addresses outside the own part of the mesh to try next.
 
         Parts that started apart, or lost each other for longer than they
@@ -152,11 +152,11 @@
         # With most of the named members gone, a herd that returns would find
         # nobody and start a mesh of its own beside the members that are left.
         wanted = min(len(present), CONTACTS_PER_RECORD)
-        alive = sum(address in present for address in self.newest)
-        return 2 * alive < wanted or len(self.newest) < wanted
+        alive = sum(address in present for address in self.newest_addresses)
+        return 2 * alive < wanted or len(self.newest_addresses) < wanted
 
 
-def is_announcer(table: MemberTable) -> bool:
+def maintains_contacts(table: MemberTable) -> bool:
     """Tells whether this node looks after the contacts in the log.
 
     Every node ranks the members that are present by a hash; the first one acts.
--- a/packages/pomelobank-core/src/pomelobank_core/_departures.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_departures.py
@@ -41,7 +41,7 @@
         while len(self.latest) > _REMEMBERED:
             self.latest.popitem(last=False)
 
-    def cover(self, target: TargetAnnouncement) -> bool:
+    def has_departed(self, target: TargetAnnouncement) -> bool:
         """Returns whether a target has left, or a later start of it."""
         departure = self.latest.get(target.instance or target.address)
         return departure is not None and is_departure_of(departure, target)
--- a/packages/pomelobank-core/src/pomelobank_core/_distribution.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_distribution.py
@@ -79,7 +79,7 @@
     delay_ms: int
 
 
-Action = PushRecords | SendDigest | PullRecords
+DistributionAction = PushRecords | SendDigest | PullRecords
 
 
 @attrs.frozen
@@ -102,15 +102,15 @@
     Attributes:
         is_reader: Whether the node is one of its data centre's readers.
         push_to: Addresses that get new records at once.
-        tell: Addresses that get the news of a new version.
-        elsewhere: Addresses in other data centres, one of which gets each
+        notify: Addresses that get the news of a new version.
+        remote: Addresses in other data centres, one of which gets each
             heartbeat.
     """
 
     is_reader: bool = True
     push_to: tuple[str, ...] = ()
-    tell: tuple[str, ...] = ()
-    elsewhere: tuple[str, ...] = ()
+    notify: tuple[str, ...] = ()
+    remote: tuple[str, ...] = ()
 
 
 def find_neighbours(
@@ -151,12 +151,12 @@
     return Neighbours(
         is_reader=place < readers,
         push_to=tuple(addresses[node] for node in children),
-        tell=tuple(
+        notify=tuple(
             addresses[node]
             for node in told
             if node != own.node and node not in children
         ),
-        elsewhere=_elsewhere(own, live, settings.fan_out),
+        remote=_elsewhere(own, live, settings.fan_out),
     )
 
 
@@ -198,7 +198,7 @@
         long_poll_ms: Longest time one read of the log waits.
         seeded: Source of randomness.
         neighbours: The peers it sends to.
-        heard_version: Highest version heard of, of any node.
+        known_version: Highest version heard of, of any node.
         log_read_ms: When any node last read the log, as far as is known.
         retry_limit_ms: Limit of the next pause after a failed read.
         failing: Whether the node's own last read failed.
@@ -212,7 +212,7 @@
     long_poll_ms: int
     seeded: random.Random
     neighbours: Neighbours = attrs.field(factory=Neighbours)
-    heard_version: int = 0
+    known_version: int = 0
     log_read_ms: int | None = None
     retry_limit_ms: int = FIRST_RETRY_MS
     failing: bool = False
@@ -227,7 +227,7 @@
         """Takes the members that the node knows now."""
         others = list(others)
         for entry in others:
-            self.heard_version = max(self.heard_version, entry.version)
+            self.known_version = max(self.known_version, entry.version)
         # Putting a thousand members in order takes some milliseconds, and at
         # rest nothing changes from one heartbeat to the next.
         live = _live_members(others)
@@ -269,7 +269,7 @@
         wait = watching and self.reached_end
         return ReadPlan(0, self.long_poll_ms if wait else 0)
 
-    def sees_log(self, now_ms: int) -> bool:
+    def is_log_reachable(self, now_ms: int) -> bool:
         """Tells whether the log looks up, from here or from what peers told."""
         if self._is_watching():
             return not self.failing and self.log_read_ms is not None
@@ -304,7 +304,7 @@
         self.retry_limit_ms = FIRST_RETRY_MS
         self.read_due_ms = None
 
-    def log_failed(self, now_ms: int) -> None:
+    def on_log_read_failed(self, now_ms: int) -> None:
         """Notes that a read of the log failed."""
         self.failing = True
         limit_ms = self.retry_limit_ms
@@ -313,9 +313,9 @@
             limit_ms = max(limit_ms, self.settings.fallback_ms)
         self.read_due_ms = now_ms + self.seeded.randint(1, limit_ms)
 
-    def advanced(
+    def on_applied(
         self, before: int, version: int, source: str = ""
-    ) -> list[Action]:
+    ) -> list[DistributionAction]:
         """Passes on what the node has just applied.
 
         Args:
@@ -326,7 +326,7 @@
         Returns:
             What to send.
         """
-        self.heard_version = max(self.heard_version, version)
+        self.known_version = max(self.known_version, version)
         self.pull_until_ms = 0
         if self.settings.mode == EVERY_NODE_POLLS:
             return []
@@ -337,23 +337,23 @@
         ]
         news = [
             SendDigest(address, heartbeat=False)
-            for address in self.neighbours.tell
+            for address in self.neighbours.notify
             if address != source
         ]
         return [*pushes, *news]
 
-    def heartbeat(self) -> list[Action]:
+    def heartbeat(self) -> list[DistributionAction]:
         """Returns the regular digests."""
         if self.settings.mode == EVERY_NODE_POLLS:
             return []
-        targets = [*self.neighbours.push_to, *self.neighbours.tell]
-        if self.neighbours.elsewhere:
-            targets.append(self.seeded.choice(self.neighbours.elsewhere))
+        targets = [*self.neighbours.push_to, *self.neighbours.notify]
+        if self.neighbours.remote:
+            targets.append(self.seeded.choice(self.neighbours.remote))
         return [SendDigest(address, heartbeat=True) for address in targets]
 
-    def hear(
+    def on_digest(
         self, digest: VersionDigest, version: int, now_ms: int
-    ) -> list[Action]:
+    ) -> list[DistributionAction]:
         """Takes a peer's digest.
 
         Args:
@@ -366,7 +366,7 @@
         """
         self._hear_log_age(digest.log_age_ms, now_ms)
         known = max(digest.version, digest.heard_version)
-        self.heard_version = max(self.heard_version, known)
+        self.known_version = max(self.known_version, known)
         if self.settings.mode == EVERY_NODE_POLLS or not digest.address:
             return []
         if digest.version > version:
@@ -385,7 +385,9 @@
         if self.log_read_ms is None or read_ms > self.log_read_ms:
             self.log_read_ms = read_ms
 
-    def _pull(self, digest: VersionDigest, now_ms: int) -> list[Action]:
+    def _pull(
+        self, digest: VersionDigest, now_ms: int
+    ) -> list[DistributionAction]:
         # After a change, several peers tell of it within a few ms; one answer
         # is enough.
         if now_ms < self.pull_until_ms:
--- a/packages/pomelobank-core/src/pomelobank_core/_gossip_queue.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_gossip_queue.py
@@ -42,7 +42,7 @@
         if node not in self.entries:
             self.versions[node] = 0
 
-    def heard(self, node: str, members: int) -> None:
+    def on_received(self, node: str, members: int) -> None:
         """Counts an entry that a peer told as passed on.
 
         Args:
@@ -52,7 +52,7 @@
         if node in self.entries:
             _count(self.entries, node, _ENTRY_FACTOR * spread_rounds(members))
 
-    def take(
+    def next_gossip(
         self,
         table: MemberTable,
         limit_bytes: int,
@@ -111,7 +111,7 @@
     )
 
 
-def version_size(item: MemberVersion) -> int:
+def version_size_bytes(item: MemberVersion) -> int:
     """Returns an upper bound of a version's size in bytes."""
     return len(item.node) + _VERSION_OVERHEAD
 
--- a/packages/pomelobank-core/src/pomelobank_core/_member_digest.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_member_digest.py
@@ -10,14 +10,14 @@
 
 # 64 buckets make a request of about 1 KB, and one member that differs costs
 # the entries of a 64th of the table.
-BUCKETS = 64
+BUCKET_COUNT = 64
 # Hashes stay within a signed 64-bit number.
 _MASK = (1 << 63) - 1
 
 
 def bucket_of(node: str) -> int:
     """Returns the bucket of a node's id; the same in every process."""
-    return xxhash.xxh3_64_intdigest(node.encode()) % BUCKETS
+    return xxhash.xxh3_64_intdigest(node.encode()) % BUCKET_COUNT
 
 
 @attrs.frozen
@@ -38,8 +38,8 @@
     @classmethod
     def of(cls, members: Iterable[MemberEntry]) -> "TableDigest":
         """Returns the digest of a table's entries, in any order."""
-        entries = [0] * BUCKETS
-        versions = [0] * BUCKETS
+        entries = [0] * BUCKET_COUNT
+        versions = [0] * BUCKET_COUNT
         for member in members:
             if member.state == MemberState.GONE.value:
                 continue
@@ -52,11 +52,13 @@
         return cls(tuple(entries), tuple(versions))
 
 
-def differing(first: Sequence[int], second: Sequence[int]) -> list[int]:
+def differing_buckets(first: Sequence[int], second: Sequence[int]) -> list[int]:
     """Returns the buckets whose hashes differ; all where they are malformed."""
-    if len(first) != BUCKETS or len(second) != BUCKETS:
-        return list(range(BUCKETS))
-    return [index for index in range(BUCKETS) if first[index] != second[index]]
+    if len(first) != BUCKET_COUNT or len(second) != BUCKET_COUNT:
+        return list(range(BUCKET_COUNT))
+    return [
+        index for index in range(BUCKET_COUNT) if first[index] != second[index]
+    ]
 
 
 def _hash(text: str) -> int:
--- a/packages/pomelobank-core/src/pomelobank_core/_members.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_members.py
@@ -93,7 +93,7 @@
     Attributes:
         own: The node's own entry.
         others: Every other member that was heard of.
-        forgotten: Ranks of gone members whose entries were dropped.
+        tombstones: Ranks of gone members whose entries were dropped.
         refutations: How often others held this node to be suspect or gone.
         stale_entries: Entries of forgotten members that were passed over.
         serving_changes: Grows whenever it changes who serves what, and where.
@@ -102,7 +102,7 @@
 
     own: MemberEntry
     others: dict[str, MemberEntry] = attrs.field(factory=dict)
-    forgotten: dict[str, EntryRank] = attrs.field(factory=dict)
+    tombstones: dict[str, EntryRank] = attrs.field(factory=dict)
     refutations: int = 0
     stale_entries: int = 0
     serving_changes: int = 0
@@ -178,7 +178,7 @@
             return False
         self._note(known, joined)
         self.others[entry.node] = joined
-        self.forgotten.pop(entry.node, None)
+        self.tombstones.pop(entry.node, None)
         self._changed()
         return known is None or is_newer(joined, known)
 
@@ -187,7 +187,7 @@
         # that everybody else has forgotten. Without the remembered rank they
         # would come back as ready and be sent work; a member that really
         # lives learns of it by the answer to its probe and raises its rank.
-        rank = self.forgotten.get(entry.node)
+        rank = self.tombstones.get(entry.node)
         if rank is None or EntryRank.of(entry) > rank:
             return False
         self.stale_entries += 1
@@ -226,14 +226,14 @@
         entry = self.others.pop(node)
         self.serving_changes += 1
         self._changed()
-        self.forgotten[node] = EntryRank.of(entry)
-        while len(self.forgotten) > FORGOTTEN_LIMIT:
-            self.forgotten.pop(next(iter(self.forgotten)))
+        self.tombstones[node] = EntryRank.of(entry)
+        while len(self.tombstones) > FORGOTTEN_LIMIT:
+            self.tombstones.pop(next(iter(self.tombstones)))
 
     def known_entry(self, node: str) -> MemberEntry | None:
         """Returns what is held of a node, also where it was forgotten."""
         entry = self.others.get(node)
-        rank = self.forgotten.get(node)
+        rank = self.tombstones.get(node)
         if entry is not None or rank is None:
             return entry
         return MemberEntry(
--- a/packages/pomelobank-core/src/pomelobank_core/_floor.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_min_serving_version.py
@@ -4,7 +4,7 @@
 
 
 @attrs.define
-class VersionFloor:
+class MinServingVersion:
     """Decides when a starting node may serve callers.
 
     A node keeps nothing when it stops. If it served as soon as it has any
@@ -18,19 +18,19 @@
     Attributes:
         settle_ms: Time for which peers' versions are gathered while the log
             does not answer.
-        heard_version: Highest version that was heard of; it never falls.
+        known_version: Highest version that was heard of; it never falls.
         reached_log_end: Whether the log's end was read once.
         first_ready_ms: When the first peer that serves told its version.
         ready: Whether the node may serve; once set it stays.
     """
 
     settle_ms: int
-    heard_version: int = 0
+    known_version: int = 0
     reached_log_end: bool = False
     first_ready_ms: int | None = None
     ready: bool = False
 
-    def hear_peer(self, version: int, ready: bool, now_ms: int) -> None:
+    def on_peer_version(self, version: int, ready: bool, now_ms: int) -> None:
         """Notes the highest version that a peer has heard of.
 
         Args:
@@ -40,20 +40,20 @@
         """
         if ready and self.first_ready_ms is None:
             self.first_ready_ms = now_ms
-        self.hear(version)
+        self.on_version(version)
 
-    def hear(self, version: int) -> None:
+    def on_version(self, version: int) -> None:
         """Notes a version that some node has, or had, in force."""
-        self.heard_version = max(self.heard_version, version)
+        self.known_version = max(self.known_version, version)
 
-    def read_log(self, version: int, end_offset: int) -> None:
+    def on_log_read(self, version: int, end_offset: int) -> None:
         """Notes how far a read of the log took the node.
 
         Args:
             version: The node's version after the read.
             end_offset: Offset that the log's next append will get.
         """
-        self.hear(end_offset)
+        self.on_version(end_offset)
         if version >= end_offset:
             self.reached_log_end = True
 
@@ -67,10 +67,10 @@
         Returns:
             Whether it may; once it may, it may for good.
         """
-        self.hear(version)
+        self.on_version(version)
         if not self.ready:
             known = self.reached_log_end or self._peers_settled(now_ms)
-            self.ready = known and version >= self.heard_version
+            self.ready = known and version >= self.known_version
         return self.ready
 
     def _peers_settled(self, now_ms: int) -> bool:
--- a/packages/pomelobank-core/src/pomelobank_core/_probing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_probing.py
@@ -146,7 +146,7 @@
     def _is_near(self, entry: MemberEntry) -> bool:
         return entry.data_centre == self.data_centre
 
-    def start(self, node: str, now_ms: int) -> int:
+    def start_probe(self, node: str, now_ms: int) -> int:
         """Notes a probe of a member and returns its number."""
         sequence = self.take_sequence()
         self.pending[sequence] = Probe(node, now_ms)
@@ -164,13 +164,13 @@
         self.next_sequence += 1
         return sequence
 
-    def settle(self, sequence: int, node: str) -> None:
+    def on_reply(self, sequence: int, node: str) -> None:
         """Ends the probe that an answer belongs to."""
         probe = self.pending.get(sequence)
         if probe is not None and probe.node == node:
             del self.pending[sequence]
 
-    def overdue(self, now_ms: int, timeout_ms: int) -> list[int]:
+    def direct_timeouts(self, now_ms: int, timeout_ms: int) -> list[int]:
         """Returns the probes whose direct answer is overdue."""
         return [
             sequence
@@ -178,7 +178,7 @@
             if not probe.indirect and now_ms - probe.sent_ms >= timeout_ms
         ]
 
-    def failed(self, now_ms: int, timeout_ms: int) -> list[str]:
+    def pop_timed_out(self, now_ms: int, timeout_ms: int) -> list[str]:
         """Removes the probes without any answer and returns their members."""
         ended = [
             sequence
--- a/packages/pomelobank-core/src/pomelobank_core/_reading_order.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_reading_order.py
@@ -19,7 +19,7 @@
 
 # Nodes of the whole mesh that read. Each covers for the others while one that
 # went silent is not replaced yet.
-READERS = 3
+READER_COUNT = 3
 # How long a node that cannot read is passed over. It tells so with every try,
 # at least once a second.
 UNABLE_MS = 2500
@@ -72,19 +72,19 @@
             return ReadingRole.FOLLOWER
         return ReadingRole.READER if _reads(own, relays) else ReadingRole.RELAY
 
-    def is_read_here(self, now_ms: int) -> bool:
+    def has_local_reader(self, now_ms: int) -> bool:
         """Tells whether a node of the own data centre reads."""
         relays = self._relays(now_ms)
         return _reads(relays[self.members.own.data_centre], relays)
 
-    def ahead(self, now_ms: int) -> int:
+    def neighbours_ahead(self, now_ms: int) -> int:
         """Returns how many neighbours come before this node."""
         own = self.members.own
         neighbours = self._ordered()[own.data_centre]
         before = neighbours[: neighbours.index(own)]
         return sum(self._is_able(entry, now_ms) for entry in before)
 
-    def far_relays(self, now_ms: int) -> list[MemberEntry]:
+    def remote_relays(self, now_ms: int) -> list[MemberEntry]:
         """Returns the relays of the other data centres."""
         own = self.members.own.data_centre
         relays = self._relays(now_ms)
@@ -125,7 +125,7 @@
 
 def _reads(relay: MemberEntry, relays: dict[str, MemberEntry]) -> bool:
     before = sum(_rank(entry) < _rank(relay) for entry in relays.values())
-    return before < READERS
+    return before < READER_COUNT
 
 
 def _rank(entry: MemberEntry) -> tuple[int, int]:
--- a/packages/pomelobank-core/src/pomelobank_core/_replay.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_replay.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class ChangeVerdict:
+class ChangeDecision:
     """What replay decided about a change.
 
     It leaves out the change's operations, so that a snapshot carries every
@@ -68,7 +68,7 @@
         version: int,
         record: ChangeRecord,
         problems: tuple[Problem, ...] = (),
-    ) -> "ChangeVerdict":
+    ) -> "ChangeDecision":
         """Returns the verdict on a change record."""
         values = map(operation_object, record.operations)
         return cls(
@@ -94,11 +94,11 @@
 
     Attributes:
         snapshot: The configuration in force.
-        verdicts: What was decided, by change id, oldest first and bounded.
+        decisions: What was decided, by change id, oldest first and bounded.
     """
 
     snapshot: Snapshot = attrs.field(factory=Snapshot)
-    verdicts: Mapping[str, ChangeVerdict] = attrs.field(
+    decisions: Mapping[str, ChangeDecision] = attrs.field(
         factory=lambda: MappingProxyType({})
     )
 
@@ -138,7 +138,7 @@
         raise ValueError(
             f"offset {offset} does not follow version {state.snapshot.version}"
         )
-    if record.change_id in state.verdicts:
+    if record.change_id in state.decisions:
         return skip_record(state, offset)
     return _decide(state, offset, record)
 
@@ -179,13 +179,13 @@
     version = offset + 1
     match evaluate(state.snapshot, version, record):
         case Success(objects):
-            verdict = ChangeVerdict.of(version, record)
+            verdict = ChangeDecision.of(version, record)
         case Failure(problems):
-            verdict = ChangeVerdict.of(version, record, problems)
+            verdict = ChangeDecision.of(version, record, problems)
             objects = state.snapshot.objects
     return ConfigState(
         snapshot=Snapshot(version, objects),
-        verdicts=_remember(state.verdicts, verdict),
+        decisions=_remember(state.decisions, verdict),
     )
 
 
@@ -275,8 +275,8 @@
 
 
 def _remember(
-    verdicts: Mapping[str, ChangeVerdict], verdict: ChangeVerdict
-) -> Mapping[str, ChangeVerdict]:
+    verdicts: Mapping[str, ChangeDecision], verdict: ChangeDecision
+) -> Mapping[str, ChangeDecision]:
     kept = _copied(verdicts)
     kept[verdict.change_id] = verdict
     while len(kept) > MAX_AUDIT_ENTRIES:
--- a/packages/pomelobank-core/src/pomelobank_core/_snapshots.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_snapshots.py
@@ -15,7 +15,7 @@
     snapshot_object_value,
 )
 from pomelobank_core._rendezvous import rank_of
-from pomelobank_core._replay import ChangeVerdict, ConfigState
+from pomelobank_core._replay import ChangeDecision, ConfigState
 from pomelobank_core._validation import Problem, ProblemKind, check_objects
 from pomelobank_schema.generated.records import (
     AuditRecord,
@@ -57,7 +57,7 @@
     return SnapshotRecord(
         as_of=state.snapshot.version,
         objects=tuple(map(_object_record, state.snapshot.objects.values())),
-        audit=tuple(map(_audit_record, state.verdicts.values())),
+        audit=tuple(map(_audit_record, state.decisions.values())),
         node=node,
         at_ms=at_ms,
         format=SNAPSHOT_FORMAT,
@@ -91,7 +91,7 @@
     return Success(
         ConfigState(
             snapshot=Snapshot(record.as_of, MappingProxyType(objects)),
-            verdicts=_verdicts(record.audit),
+            decisions=_verdicts(record.audit),
         )
     )
 
@@ -137,7 +137,7 @@
     )
 
 
-def _audit_record(verdict: ChangeVerdict) -> AuditRecord:
+def _audit_record(verdict: ChangeDecision) -> AuditRecord:
     return AuditRecord(
         version=verdict.version,
         change_id=verdict.change_id,
@@ -159,12 +159,12 @@
 
 def _verdicts(
     audit: Iterable[AuditRecord],
-) -> MappingProxyType[str, ChangeVerdict]:
+) -> MappingProxyType[str, ChangeDecision]:
     return MappingProxyType({item.change_id: _verdict(item) for item in audit})
 
 
-def _verdict(item: AuditRecord) -> ChangeVerdict:
-    return ChangeVerdict(
+def _verdict(item: AuditRecord) -> ChangeDecision:
+    return ChangeDecision(
         version=item.version,
         change_id=item.change_id,
         author=item.author,
@@ -210,7 +210,9 @@
     written_ms: int | None = None
     due_ms: int | None = None
 
-    def seen(self, record: SnapshotRecord, now_ms: int, wall_ms: int) -> None:
+    def on_snapshot(
+        self, record: SnapshotRecord, now_ms: int, wall_ms: int
+    ) -> None:
         """Notes a snapshot that replay came past.
 
         Args:
@@ -218,9 +220,9 @@
             now_ms: Monotonic time.
             wall_ms: Time since the epoch, compared with the writer's.
         """
-        self.hear(record.as_of, wall_ms - record.at_ms, now_ms)
+        self.on_snapshot_age(record.as_of, wall_ms - record.at_ms, now_ms)
 
-    def hear(self, as_of: int, age_ms: int, now_ms: int) -> None:
+    def on_snapshot_age(self, as_of: int, age_ms: int, now_ms: int) -> None:
         """Notes how old the newest snapshot in the log is.
 
         A node that starts from a peer's state has never read a snapshot from
@@ -263,7 +265,7 @@
             self.due_ms = now_ms + self._delay_ms(live)
         return now_ms >= self.due_ms
 
-    def failed(self, now_ms: int) -> None:
+    def on_write_failed(self, now_ms: int) -> None:
         """Puts the next try off after one that the log did not take."""
         pause_ms = self.seeded.randint(1, 2 * self.settings.rank_delay_ms)
         self.due_ms = now_ms + pause_ms
--- a/packages/pomelobank-core/src/pomelobank_core/_swim.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim.py
@@ -10,7 +10,7 @@
 import attrs
 
 from pomelobank_core._gossip_queue import GossipQueue
-from pomelobank_core._member_digest import BUCKETS, TableDigest, bucket_of
+from pomelobank_core._member_digest import BUCKET_COUNT, TableDigest, bucket_of
 from pomelobank_core._members import MemberState, MemberTable
 from pomelobank_core._probing import Prober
 from pomelobank_core._rendezvous import rank_of
@@ -47,14 +47,14 @@
 _MS_PER_S = 1000
 # Most restarts take less. After that a member that has not come back is tried
 # once in a while only, since most likely it was replaced.
-LATELY_GONE_MS = 15_000
+RECENTLY_GONE_MS = 15_000
 # Members that look for one that went lately. Two, so that the loss of one does
 # not matter; with all of 1,000, a restart would meet a thousand handshakes.
-LOOKERS = 2
+POLLERS_PER_GONE_MEMBER = 2
 
 
 @attrs.frozen
-class Send:
+class SendFrame:
     """Asks for a frame to be sent to a peer.
 
     Attributes:
@@ -67,7 +67,7 @@
 
 
 @attrs.frozen
-class Reply:
+class ReplyFrame:
     """Asks for a frame to be sent back on the stream that one came from.
 
     Attributes:
@@ -77,7 +77,7 @@
     frame: WireMessage
 
 
-Action = Send | Reply
+SwimAction = SendFrame | ReplyFrame
 
 
 @attrs.define(eq=False)
@@ -121,7 +121,7 @@
         self.prober = Prober(self.random, self.table.own.data_centre)
 
     @property
-    def spreads_versions(self) -> bool:
+    def gossips_versions(self) -> bool:
         """Whether versions of other members are passed on.
 
         A change moves every member's version. Passed on by all to all, 15
@@ -129,7 +129,7 @@
         """
         return self.settings.version_gossip == "everybody"
 
-    def tick(self, now_ms: int) -> list[Action]:
+    def tick(self, now_ms: int) -> list[SwimAction]:
         """Does what is due.
 
         Args:
@@ -193,22 +193,24 @@
         for node in self.suspicions:
             self.suspicions[node] += late_ms
 
-    def _probe_next(self, now_ms: int) -> list[Action]:
+    def _probe_next(self, now_ms: int) -> list[SwimAction]:
         entry = self._next_partner()
         if entry is None or not entry.peer_address:
             return []
-        sequence = self.prober.start(entry.node, now_ms)
+        sequence = self.prober.start_probe(entry.node, now_ms)
         request = ProbeRequest(
-            sequence=sequence, node=entry.node, gossip=self.news_for(entry.node)
+            sequence=sequence,
+            node=entry.node,
+            gossip=self.gossip_for(entry.node),
         )
-        return [Send(entry.peer_address, request)]
+        return [SendFrame(entry.peer_address, request)]
 
     def _next_partner(self) -> MemberEntry | None:
         others = self.table.others
         doubted = [others[item] for item in self.suspicions if item in others]
         return self.prober.choose(self.table.present(), doubted)
 
-    def news_for(self, node: str = "") -> Gossip:
+    def gossip_for(self, node: str = "") -> Gossip:
         """Returns the next news to pass on.
 
         Args:
@@ -220,31 +222,33 @@
             MemberState.GONE.value,
         )
         first = (entry,) if entry is not None and doubted else ()
-        return self.queue.take(self.table, FRAME_BYTES, first)
+        return self.queue.next_gossip(self.table, FRAME_BYTES, first)
 
-    def _time_out_probes(self, now_ms: int) -> list[Action]:
+    def _time_out_probes(self, now_ms: int) -> list[SwimAction]:
         timeout_ms = self.settings.probe_timeout_ms
-        actions: list[Action] = []
-        for sequence in self.prober.overdue(now_ms, timeout_ms):
+        actions: list[SwimAction] = []
+        for sequence in self.prober.direct_timeouts(now_ms, timeout_ms):
             actions += self._ask_others(sequence)
-        for node in self.prober.failed(now_ms, _PROBE_TIMEOUTS * timeout_ms):
+        for node in self.prober.pop_timed_out(
+            now_ms, _PROBE_TIMEOUTS * timeout_ms
+        ):
             self.suspect(node, now_ms)
         return actions
 
-    def _ask_others(self, sequence: int) -> list[Action]:
+    def _ask_others(self, sequence: int) -> list[SwimAction]:
         probe = self.prober.pending[sequence]
         probe.indirect = True
         target = self.table.others.get(probe.node)
         if target is None:
             return []
         return [
-            Send(
+            SendFrame(
                 helper.peer_address,
                 IndirectProbe(
                     sequence=sequence,
                     node=target.node,
                     peer_address=target.peer_address,
-                    gossip=self.news_for(helper.node),
+                    gossip=self.gossip_for(helper.node),
                 ),
             )
             for helper in self.choose(INDIRECT_PROBES, exclude=target.node)
@@ -259,13 +263,13 @@
         ]
         return self.random.sample(present, min(count, len(present)))
 
-    def unreachable(self, address: str) -> list[Action]:
+    def on_unreachable(self, address: str) -> list[SwimAction]:
         """Takes note that no stream to an address could be opened.
 
         A refused stream is known at once, so others are asked without waiting
         for the time-out.
         """
-        actions: list[Action] = []
+        actions: list[SwimAction] = []
         for sequence, probe in list(self.prober.pending.items()):
             entry = self.table.others.get(probe.node)
             if probe.indirect or entry is None:
@@ -319,7 +323,7 @@
                 del self.gone_ms[node]
                 self.table.remove(node)
 
-    def learn(self, gossip: Gossip, now_ms: int) -> None:
+    def on_gossip(self, gossip: Gossip, now_ms: int) -> None:
         """Takes what a peer tells."""
         sequence = self.table.own.sequence, self.table.own.incarnation
         heard = [self._as_heard(entry, now_ms) for entry in gossip.members]
@@ -331,7 +335,7 @@
         self._count_heard(heard, news)
         self._take_entries(news, now_ms)
         for version in self.table.merge_versions(gossip.versions):
-            if self.spreads_versions:
+            if self.gossips_versions:
                 self.queue.add_version(version.node)
         if sequence != (self.table.own.sequence, self.table.own.incarnation):
             self.queue.add(self.table.own.node)
@@ -345,7 +349,7 @@
         for entry in heard:
             known = self.table.others.get(entry.node)
             if entry.node not in fresh and entry == known:
-                self.queue.heard(entry.node, len(self.table.others) + 1)
+                self.queue.on_received(entry.node, len(self.table.others) + 1)
 
     def _as_heard(self, entry: MemberEntry, now_ms: int) -> MemberEntry:
         # When a cut heals, each side tells the other that its members are
@@ -383,16 +387,16 @@
             elif entry.node not in self.suspicions:
                 self.suspicions[entry.node] = now_ms + self.suspicion_ms()
 
-    def take_changes(self) -> list[MemberEntry]:
+    def pop_changes(self) -> list[MemberEntry]:
         """Returns the entries that were news since the last call."""
         changes, self.changes = self.changes, []
         return changes
 
-    def gossip_own_entry(self) -> list[Action]:
+    def gossip_own_entry(self) -> list[SwimAction]:
         """Tells a member of each data centre of a change of the own entry."""
         self.queue.add(self.table.own.node)
         return [
-            Send(entry.peer_address, self.news_for(entry.node))
+            SendFrame(entry.peer_address, self.gossip_for(entry.node))
             for entry in self._one_of_each_data_centre()
         ]
 
@@ -404,7 +408,7 @@
         }
         return list(chosen.values())
 
-    def broadcast_own_entry(self) -> list[Action]:
+    def broadcast_own_entry(self) -> list[SwimAction]:
         """Tells every member of the own entry, as when it starts to drain.
 
         Gossip reaches the last of 1,000 members after several seconds; until
@@ -421,12 +425,12 @@
             self.table.present(), key=lambda entry: entry.state == suspect
         )
         return [
-            Send(entry.peer_address, gossip)
+            SendFrame(entry.peer_address, gossip)
             for entry in present
             if entry.peer_address
         ]
 
-    def compare(self, address: str) -> Send:
+    def sync_request(self, address: str) -> SendFrame:
         """Returns the request that compares the table with a peer's."""
         digest = TableDigest.of(self.table.all())
         request = SyncRequest(
@@ -434,15 +438,15 @@
             entries=digest.entries,
             versions=digest.versions,
         )
-        return Send(address, request)
+        return SendFrame(address, request)
 
-    def _sync_with_one(self) -> list[Action]:
+    def _sync_with_one(self) -> list[SwimAction]:
         entry = self._next_partner()
         if entry is None or not entry.peer_address:
             return []
-        return [self.compare(entry.peer_address)]
+        return [self.sync_request(entry.peer_address)]
 
-    def note_compared(self, differing: int, now_ms: int) -> None:
+    def on_sync_result(self, differing: int, now_ms: int) -> None:
         """Takes the result of a comparison with a peer's table.
 
         Gossip takes a node that has just started through the whole mesh, a
@@ -452,26 +456,27 @@
             differing: Buckets that differed.
             now_ms: Current time.
         """
-        if differing >= BUCKETS * _BULK_PART:
+        if differing >= BUCKET_COUNT * _BULK_PART:
             soon_ms = now_ms + self._jittered(self.settings.period_ms)
             self.next_sync_ms = min(self.next_sync_ms, soon_ms)
 
-    def _look_for_lately_gone(self, now_ms: int) -> list[Action]:
+    def _look_for_lately_gone(self, now_ms: int) -> list[SwimAction]:
         # A node that is restarted while the log is away finds nobody, and a
         # target that works stands idle beside it until the log is back. When
         # nodes are restarted in turn meanwhile, callers are refused because no
         # target of their upstream is left. Its former peers know its address.
         present = [entry.node for entry in self.table.present()]
         return [
-            self.compare(entry.peer_address)
+            self.sync_request(entry.peer_address)
             for node, gone_ms in self.gone_ms.items()
-            if now_ms - gone_ms < LATELY_GONE_MS
+            if now_ms - gone_ms < RECENTLY_GONE_MS
             and (entry := self.table.others.get(node))
             and entry.peer_address
-            and rank_of(self.table.own.node, present, node) < LOOKERS
+            and rank_of(self.table.own.node, present, node)
+            < POLLERS_PER_GONE_MEMBER
         ]
 
-    def _try_a_gone_one(self) -> list[Action]:
+    def _try_a_gone_one(self) -> list[SwimAction]:
         # Two sides of a cut hold each other to be gone and would never meet
         # again after it has healed, because nobody probes the gone.
         gone = [
@@ -481,9 +486,9 @@
         ]
         if not gone:
             return []
-        return [self.compare(self.random.choice(gone))]
+        return [self.sync_request(self.random.choice(gone))]
 
-    def may_sync(self, size_bytes: int, now_ms: int) -> bool:
+    def acquire_sync_budget(self, size_bytes: int, now_ms: int) -> bool:
         """Tells whether one more answer of a size is allowed in this second.
 
         The first one always is, however large.
--- a/packages/pomelobank-core/src/pomelobank_core/_swim_frames.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim_frames.py
@@ -2,9 +2,9 @@
 
 import functools
 
-from pomelobank_core._gossip_queue import entry_size_bytes, version_size
-from pomelobank_core._member_digest import TableDigest, differing
-from pomelobank_core._swim import Action, Reply, Send, Swim
+from pomelobank_core._gossip_queue import entry_size_bytes, version_size_bytes
+from pomelobank_core._member_digest import TableDigest, differing_buckets
+from pomelobank_core._swim import ReplyFrame, SendFrame, Swim, SwimAction
 from pomelobank_schema import WireMessage
 from pomelobank_schema.generated.peer import (
     Gossip,
@@ -22,7 +22,9 @@
 
 
 @functools.singledispatch
-def take_frame(frame: WireMessage, swim: Swim, now_ms: int) -> list[Action]:
+def handle_frame(
+    frame: WireMessage, swim: Swim, now_ms: int
+) -> list[SwimAction]:
     """Takes a frame of a peer.
 
     Args:
@@ -36,65 +38,67 @@
     return []
 
 
-@take_frame.register
-def _(frame: Gossip, swim: Swim, now_ms: int) -> list[Action]:
-    swim.learn(frame, now_ms)
+@handle_frame.register
+def _(frame: Gossip, swim: Swim, now_ms: int) -> list[SwimAction]:
+    swim.on_gossip(frame, now_ms)
     if not frame.reply:
         return []
-    return [Reply(swim.news_for(_sender(frame)))]
+    return [ReplyFrame(swim.gossip_for(_sender(frame)))]
 
 
-@take_frame.register
-def _(frame: ProbeRequest, swim: Swim, now_ms: int) -> list[Action]:
+@handle_frame.register
+def _(frame: ProbeRequest, swim: Swim, now_ms: int) -> list[SwimAction]:
     sender = _learn(frame.gossip, swim, now_ms)
     reply = ProbeReply(
         sequence=frame.sequence,
         node=swim.table.own.node,
-        gossip=swim.news_for(sender),
+        gossip=swim.gossip_for(sender),
     )
-    return [Reply(reply)]
+    return [ReplyFrame(reply)]
 
 
-@take_frame.register
-def _(frame: ProbeReply, swim: Swim, now_ms: int) -> list[Action]:
+@handle_frame.register
+def _(frame: ProbeReply, swim: Swim, now_ms: int) -> list[SwimAction]:
     _learn(frame.gossip, swim, now_ms)
-    swim.prober.settle(frame.sequence, frame.node)
+    swim.prober.on_reply(frame.sequence, frame.node)
     relayed = swim.prober.relayed.pop(frame.sequence, None)
     if relayed is None:
         return []
     answer = ProbeReply(
-        sequence=relayed.sequence, node=frame.node, gossip=swim.news_for()
+        sequence=relayed.sequence, node=frame.node, gossip=swim.gossip_for()
     )
-    return [Send(relayed.requester, answer)]
+    return [SendFrame(relayed.requester, answer)]
 
 
-@take_frame.register
-def _(frame: IndirectProbe, swim: Swim, now_ms: int) -> list[Action]:
+@handle_frame.register
+def _(frame: IndirectProbe, swim: Swim, now_ms: int) -> list[SwimAction]:
     sender = _learn(frame.gossip, swim, now_ms)
     asking = swim.table.others.get(sender)
     if asking is None or not frame.peer_address:
         return []
     sequence = swim.prober.relay(asking.peer_address, frame.sequence, now_ms)
     request = ProbeRequest(
-        sequence=sequence, node=frame.node, gossip=swim.news_for(frame.node)
+        sequence=sequence, node=frame.node, gossip=swim.gossip_for(frame.node)
     )
-    return [Send(frame.peer_address, request)]
+    return [SendFrame(frame.peer_address, request)]
 
 
-@take_frame.register
-def _(frame: SyncRequest, swim: Swim, now_ms: int) -> list[Action]:
+@handle_frame.register
+def _(frame: SyncRequest, swim: Swim, now_ms: int) -> list[SwimAction]:
     sender = _learn(frame.gossip, swim, now_ms)
     own = TableDigest.of(swim.table.all())
-    entries = differing(own.entries, frame.entries)
+    entries = differing_buckets(own.entries, frame.entries)
     versions = []
-    if swim.spreads_versions:
-        versions = differing(own.versions, frame.versions)
+    if swim.gossips_versions:
+        versions = differing_buckets(own.versions, frame.versions)
     others = set(versions) - set(entries)
     different = swim.entries_in(set(entries))
     moved = swim.versions_in(others)
-    size = sum(map(entry_size_bytes, different)) + sum(map(version_size, moved))
-    if size and not swim.may_sync(size, now_ms):
-        return [Reply(SyncReply(gossip=_referrals(swim, sender)))]
+    size = sum(map(entry_size_bytes, different)) + sum(
+        map(version_size_bytes, moved)
+    )
+    if size and not swim.acquire_sync_budget(size, now_ms):
+        return [ReplyFrame(SyncReply(gossip=_referrals(swim, sender)))]
     claim = swim.table.known_entry(sender)
     members = (swim.table.own, *different)
     if claim is not None:
@@ -104,7 +108,7 @@
         entry_buckets=tuple(entries),
         version_buckets=tuple(sorted(others)),
     )
-    return [Reply(reply)]
+    return [ReplyFrame(reply)]
 
 
 def _referrals(swim: Swim, sender: str) -> Gossip:
@@ -112,26 +116,26 @@
     return Gossip(members=(swim.table.own, *others))
 
 
-@take_frame.register
-def _(frame: SyncReply, swim: Swim, now_ms: int) -> list[Action]:
+@handle_frame.register
+def _(frame: SyncReply, swim: Swim, now_ms: int) -> list[SwimAction]:
     _learn(frame.gossip, swim, now_ms)
     wanted = set(frame.entry_buckets)
     versions = set(frame.version_buckets)
-    swim.note_compared(len(wanted), now_ms)
+    swim.on_sync_result(len(wanted), now_ms)
     if not wanted and not versions:
         return []
     answer = Gossip(
         members=(swim.table.own, *swim.entries_in(wanted)),
         versions=swim.versions_in(versions),
     )
-    return [Reply(answer)]
+    return [ReplyFrame(answer)]
 
 
 def _learn(gossip: Gossip | None, swim: Swim, now_ms: int) -> str:
     # A peer may send an empty field here; it then says nothing of itself.
     if gossip is None:
         return ""
-    swim.learn(gossip, now_ms)
+    swim.on_gossip(gossip, now_ms)
     return _sender(gossip)
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_first_contact.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_bootstrap_contacts.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from pomelobank_core import (
-    FirstContact,
+    BootstrapContacts,
     MemberTable,
     contacts_record,
-    is_announcer,
+    maintains_contacts,
 )
 from pomelobank_schema import encode
 from pomelobank_schema.generated.peer import MemberEntry
@@ -25,8 +25,8 @@
 OWN = "127.0.0.1:1"
 
 
-def finder() -> FirstContact:
-    return FirstContact(random.Random(1))
+def finder() -> BootstrapContacts:
+    return BootstrapContacts(random.Random(1))
 
 
 def address(index: int) -> str:
@@ -54,9 +54,9 @@
 def test_records_of_both_kinds_name_contacts() -> None:
     contact = finder()
     single = AnnounceRecord(node="a", peer_address=address(9), at_ms=1)
-    contact.take_records([encode(single), contacts(2)])
+    contact.add_records([encode(single), contacts(2)])
     assert set(contact.attempts) == {address(9), address(0), address(1)}
-    assert contact.newest == {address(0), address(1)}
+    assert contact.newest_addresses == {address(0), address(1)}
     assert contact.skipped_records == 0
 
 
@@ -76,7 +76,7 @@
     A starting node that stopped there would never join the mesh.
     """
     contact = finder()
-    contact.take_records([record, contacts(1)])
+    contact.add_records([record, contacts(1)])
     assert contact.skipped_records == 1
     assert set(contact.attempts) == {address(0)}
 
@@ -84,7 +84,7 @@
 @given(st.lists(st.binary(max_size=64), max_size=8))
 def test_any_bytes_are_passed_over(records: list[bytes]) -> None:
     contact = finder()
-    contact.take_records(records)
+    contact.add_records(records)
     assert contact.skipped_records <= len(records)
 
 
@@ -106,7 +106,7 @@
     """
     read_ms = 20
     waits = sorted(
-        FirstContact(random.Random(seed)).announce_wait_ms(read_ms)
+        BootstrapContacts(random.Random(seed)).announce_wait_ms(read_ms)
         for seed in range(1000)
     )
     readable_ms = waits[0] + 2 * read_ms
@@ -121,7 +121,7 @@
 
 def test_one_member_looks_after_the_contacts() -> None:
     count = 20
-    acting = [is_announcer(table(index, count)) for index in range(count)]
+    acting = [maintains_contacts(table(index, count)) for index in range(count)]
     assert acting.count(True) == 1
 
 
@@ -139,14 +139,14 @@
     named: int, present: int, age_ms: int, expected: bool
 ) -> None:
     contact = finder()
-    contact.take_records([contacts(named)])
+    contact.add_records([contacts(named)])
     addresses = {address(index) for index in range(present)}
     assert contact.needs_refresh(addresses, NOW_MS + age_ms) is expected
 
 
 def test_a_record_without_the_present_members_is_replaced() -> None:
     contact = finder()
-    contact.take_records([contacts(4)])
+    contact.add_records([contacts(4)])
     addresses = {address(index) for index in range(3, 7)}
     assert contact.needs_refresh(addresses, NOW_MS)
 
@@ -154,7 +154,9 @@
 def test_strangers_are_tried_less_and_less() -> None:
     contact = finder()
     contact.add([address(0), address(1)])
-    tries = [len(contact.strangers({address(1)})) for _ in range(400)]
+    tries = [
+        len(contact.next_unknown_addresses({address(1)})) for _ in range(400)
+    ]
     assert tries[0] == 1
     assert 5 <= sum(tries) <= 60
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_departures.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_departures.py
@@ -51,7 +51,7 @@
         instance="a",
         started_at_ms=started_at_ms,
     )
-    assert known.cover(target) is covered
+    assert known.has_departed(target) is covered
 
 
 def test_what_is_remembered_is_bounded() -> None:
@@ -68,8 +68,8 @@
     left = DepartureRecord(address="127.0.0.1:1")
     target = TargetAnnouncement(upstream="u", address="127.0.0.1:1", slots=2)
     known.add(left)
-    assert known.cover(target)
-    assert not known.cover(attrs.evolve(target, address="127.0.0.1:2"))
-    assert not known.cover(attrs.evolve(target, instance="a"))
+    assert known.has_departed(target)
+    assert not known.has_departed(attrs.evolve(target, address="127.0.0.1:2"))
+    assert not known.has_departed(attrs.evolve(target, instance="a"))
     known.add(attrs.evolve(left, returned=True))
-    assert not known.cover(target)
+    assert not known.has_departed(target)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_distribution.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_distribution.py
@@ -54,7 +54,7 @@
     seen = set(waiting)
     while waiting:
         view = found[waiting.popleft()]
-        for peer in (*view.push_to, *view.tell):
+        for peer in (*view.push_to, *view.notify):
             if peer not in seen and peer not in dead:
                 seen.add(peer)
                 waiting.append(peer)
@@ -85,7 +85,7 @@
     found = views([member(index) for index in range(170)])
     readers = [view for view in found.values() if view.is_reader]
     assert len(readers) == SETTINGS.readers
-    most = max(len(view.push_to) + len(view.tell) for view in found.values())
+    most = max(len(view.push_to) + len(view.notify) for view in found.values())
     assert most <= 3 * SETTINGS.fan_out + SETTINGS.readers
 
 
@@ -124,7 +124,7 @@
     machine = distribution(reader=False)
     digest = VersionDigest(version=0, log_age_ms=100, heartbeat=True)
     for now_ms in range(0, 60_000, 500):
-        machine.hear(digest, 0, now_ms)
+        machine.on_digest(digest, 0, now_ms)
         assert machine.next_read(now_ms).pause_ms > 0
 
 
@@ -152,7 +152,7 @@
     for seed in range(1000):
         machine = distribution(reader=True, seed=seed)
         for now_ms in range(10):
-            machine.log_failed(now_ms)
+            machine.on_log_read_failed(now_ms)
         assert machine.read_due_ms is not None
         due.append(machine.read_due_ms)
     slots = [0] * 10
@@ -164,7 +164,7 @@
 def test_a_push_goes_to_everybody_but_its_source() -> None:
     machine = distribution(reader=True)
     machine.neighbours = Neighbours(True, ("a:1", "b:1"), ("c:1",))
-    assert machine.advanced(4, 6, source="a:1") == [
+    assert machine.on_applied(4, 6, source="a:1") == [
         PushRecords("b:1", 4),
         SendDigest("c:1", heartbeat=False),
     ]
@@ -185,15 +185,15 @@
     digest = VersionDigest(
         version=version, address="p:1", heartbeat=heartbeat, log_age_ms=-1
     )
-    assert machine.hear(digest, 5, 0) == expected
+    assert machine.on_digest(digest, 5, 0) == expected
 
 
 def test_one_answer_to_much_news_is_enough() -> None:
     machine = distribution(reader=False)
     digest = VersionDigest(version=9, address="p:1")
-    assert machine.hear(digest, 5, 0)
-    assert not machine.hear(digest, 5, 10)
-    assert machine.hear(digest, 5, 1000)
+    assert machine.on_digest(digest, 5, 0)
+    assert not machine.on_digest(digest, 5, 10)
+    assert machine.on_digest(digest, 5, 1000)
 
 
 @pytest.mark.parametrize(
@@ -215,7 +215,7 @@
     if own_read == "answered":
         machine.on_log_read(0, at_end=True)
     if own_read == "failed":
-        machine.log_failed(0)
+        machine.on_log_read_failed(0)
     now_ms = 100_000
-    machine.hear(VersionDigest(log_age_ms=peer_age_ms), 0, now_ms)
-    assert machine.sees_log(now_ms) is expected
+    machine.on_digest(VersionDigest(log_age_ms=peer_age_ms), 0, now_ms)
+    assert machine.is_log_reachable(now_ms) is expected
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_lately_gone.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_lately_gone.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from pomelobank_core import MemberTable, Send, Swim
-from pomelobank_core._swim import LATELY_GONE_MS, LOOKERS
+from pomelobank_core import MemberTable, SendFrame, Swim
+from pomelobank_core._swim import POLLERS_PER_GONE_MEMBER, RECENTLY_GONE_MS
 from pomelobank_schema.generated.peer import Gossip, MemberEntry, SyncRequest
 from pomelobank_schema.generated.settings import MembershipSettings
 
@@ -36,7 +36,7 @@
         table.merge(_entry(i) for i in range(1, count) if i != number)
         swim = Swim(table, settings, random.Random(number))
         swim.next_rejoin_ms = RARELY_MS
-        swim.learn(Gossip(members=(_entry(0, "gone"),)), now_ms=0)
+        swim.on_gossip(Gossip(members=(_entry(0, "gone"),)), now_ms=0)
         members.append(swim)
     return members
 
@@ -48,7 +48,7 @@
         for now_ms in range(from_ms, until_ms, TICK_MS)
         for swim in members
         for action in swim.tick(now_ms)
-        if isinstance(action, Send)
+        if isinstance(action, SendFrame)
         and isinstance(action.frame, SyncRequest)
         and action.address == _entry(0).peer_address
     ]
@@ -73,12 +73,15 @@
     start.
     """
     rounds = 5000 // PERIOD_MS
-    assert len(_looks(_members(200), 0, 5000)) <= 2 * LOOKERS * rounds
+    assert (
+        len(_looks(_members(200), 0, 5000))
+        <= 2 * POLLERS_PER_GONE_MEMBER * rounds
+    )
 
 
 def test_a_member_that_does_not_come_back_is_left_alone() -> None:
     members = _members(8)
-    _looks(members, 0, LATELY_GONE_MS)
-    later = _looks(members, LATELY_GONE_MS, LATELY_GONE_MS + 10_000)
+    _looks(members, 0, RECENTLY_GONE_MS)
+    later = _looks(members, RECENTLY_GONE_MS, RECENTLY_GONE_MS + 10_000)
     rounds = 10_000 // PERIOD_MS
     assert len(later) < rounds
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_members.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_members.py
@@ -104,7 +104,7 @@
     table.merge(before)
     for node in list(table.others):
         table.remove(node)
-    ranks = dict(table.forgotten)
+    ranks = dict(table.tombstones)
     table.merge(after)
     for node, known in table.others.items():
         assert node not in ranks or EntryRank.of(known) > ranks[node]
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_floor.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_min_serving_version.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pomelobank_core import VersionFloor
+from pomelobank_core import MinServingVersion
 
 SETTLE_MS = 3000
 
@@ -13,18 +13,18 @@
     If it served with the first configuration that some slow peer gave it, its
     callers would be routed by an older version than before the restart.
     """
-    floor = VersionFloor(SETTLE_MS)
-    floor.hear_peer(7, True, 0)
-    floor.hear_peer(9, False, 10)
+    floor = MinServingVersion(SETTLE_MS)
+    floor.on_peer_version(7, True, 0)
+    floor.on_peer_version(9, False, 10)
     assert not floor.update(7, SETTLE_MS)
     assert floor.update(9, SETTLE_MS)
 
 
 def test_readiness_stays() -> None:
-    floor = VersionFloor(SETTLE_MS)
-    floor.read_log(3, 3)
+    floor = MinServingVersion(SETTLE_MS)
+    floor.on_log_read(3, 3)
     assert floor.update(3, 0)
-    floor.hear_peer(50, True, 1)
+    floor.on_peer_version(50, True, 1)
     assert floor.update(3, 1)
 
 
@@ -37,8 +37,8 @@
     ],
 )
 def test_log(version: int, end: int, expected: bool) -> None:
-    floor = VersionFloor(SETTLE_MS)
-    floor.read_log(version, end)
+    floor = MinServingVersion(SETTLE_MS)
+    floor.on_log_read(version, end)
     assert floor.update(version, 0) is expected
 
 
@@ -51,6 +51,6 @@
     ],
 )
 def test_peers(peer_ready: bool, now_ms: int, expected: bool) -> None:
-    floor = VersionFloor(SETTLE_MS)
-    floor.hear_peer(3, peer_ready, 0)
+    floor = MinServingVersion(SETTLE_MS)
+    floor.on_peer_version(3, peer_ready, 0)
     assert floor.update(3, now_ms) is expected
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_reading_order.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_reading_order.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pomelobank_core import (
-    READERS,
+    READER_COUNT,
     MemberTable,
     ReadingOrder,
     ReadingRole,
@@ -56,7 +56,7 @@
 ) -> None:
     """Guards against a source that each data centre or node asks."""
     found = roles(orders(fleet(data_centres, nodes)))
-    readers = min(READERS, data_centres)
+    readers = min(READER_COUNT, data_centres)
     assert found[ReadingRole.READER] == readers
     assert found[ReadingRole.RELAY] == data_centres - readers
 
@@ -74,7 +74,7 @@
             if other != address:
                 order.note_unable(other, NOW_MS)
     others = {a: o for a, o in found.items() if a not in refused}
-    assert roles(others)[ReadingRole.READER] == READERS
+    assert roles(others)[ReadingRole.READER] == READER_COUNT
 
 
 def test_a_suspect_neither_reads_nor_informs() -> None:
@@ -82,7 +82,7 @@
     entries = fleet(1, 2)
     found = orders(entries)
     first, second = sorted(
-        found.values(), key=lambda order: order.ahead(NOW_MS)
+        found.values(), key=lambda order: order.neighbours_ahead(NOW_MS)
     )
     doubted = attrs.evolve(first.members.own, state="suspect")
     second.members.merge([doubted])
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_snapshots.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_snapshots.py
@@ -177,7 +177,7 @@
         if writers and now_ms % 500 == 0:
             record = SnapshotRecord(as_of=40, at_ms=now_ms)
             for other in nodes.values():
-                other.seen(record, now_ms, now_ms)
+                other.on_snapshot(record, now_ms, now_ms)
     assert len(set(writers)) == 1
 
 
@@ -202,7 +202,7 @@
 
 def test_a_clock_ahead_does_not_put_the_next_snapshot_off() -> None:
     schedule = schedules(1)["n0"]
-    schedule.seen(SnapshotRecord(as_of=5, at_ms=10**15), 1000, 1000)
+    schedule.on_snapshot(SnapshotRecord(as_of=5, at_ms=10**15), 1000, 1000)
     assert not schedule.should_write(6, ["n0"], 30_999)
     assert schedule.due_ms is None
     schedule.should_write(6, ["n0"], 31_000)
@@ -218,7 +218,7 @@
     age_ms = 0
     for _ in range(4):
         schedule = schedules(1)["n0"]
-        schedule.hear(0, age_ms, 0)
+        schedule.on_snapshot_age(0, age_ms, 0)
         assert not schedule.should_write(1, ["n0"], 0)
         age_ms += 9_000
     schedule.should_write(1, ["n0"], 9_000)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_swim_model.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_swim_model.py
@@ -68,7 +68,7 @@
 @functools.cache
 def hears(held: Claim, claim: Claim) -> Claim:
     swim = watcher(held)
-    swim.learn(Gossip(members=(claim.entry(),)), 0)
+    swim.on_gossip(Gossip(members=(claim.entry(),)), 0)
     return held_by(swim)
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/_config_feed.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_config_feed.py
@@ -11,13 +11,13 @@
     Clock,
     Distribution,
     MemberTable,
+    MinServingVersion,
     PullRecords,
     PushRecords,
     SendDigest,
     SnapshotSchedule,
-    VersionFloor,
 )
-from pomelobank_node._config_frames import make_frame, take_frame
+from pomelobank_node._config_frames import handle_frame, make_frame
 from pomelobank_node._config_outbox import Outbox
 from pomelobank_node._config_store import ConfigStore
 from pomelobank_node._log import Log, LogError
@@ -94,19 +94,21 @@
         self.distribution = Distribution(
             distribution, self.settings.log.long_poll_ms, self.seeded
         )
-        self.floor = VersionFloor(_FLOOR_HEARTBEATS * distribution.heartbeat_ms)
+        self.min_serving_version = MinServingVersion(
+            _FLOOR_HEARTBEATS * distribution.heartbeat_ms
+        )
         schedule = SnapshotSchedule(
             self.settings.snapshots, self.settings.node, self.seeded
         )
         self.writer = SnapshotWriter(
             schedule, self.store, self.log, self.members, self.clock
         )
-        self.store.on_snapshot = self.writer.saw
+        self.store.on_snapshot = self.writer.on_snapshot
 
     @property
     def log_up(self) -> bool:
         """Whether the log looks up, from here or from what peers told."""
-        return self.distribution.sees_log(self.clock.now_ms())
+        return self.distribution.is_log_reachable(self.clock.now_ms())
 
     @property
     def log_state(self) -> str:
@@ -168,7 +170,7 @@
         try:
             await self.reader.read(wait_ms)
         except LogError as error:
-            self.distribution.log_failed(self.clock.now_ms())
+            self.distribution.on_log_read_failed(self.clock.now_ms())
             _logger.warning("config.read_failed", extra={"error": str(error)})
         else:
             self._log_answered()
@@ -177,13 +179,15 @@
     def _log_answered(self) -> None:
         version, end = self.store.version, self.reader.end_offset
         self.distribution.on_log_read(self.clock.now_ms(), version >= end)
-        self.floor.read_log(version, end)
+        self.min_serving_version.on_log_read(version, end)
         self._update_ready()
 
     def _update_ready(self) -> None:
-        self.floor.hear(self.distribution.heard_version)
+        self.min_serving_version.on_version(self.distribution.known_version)
         now_ms = self.clock.now_ms()
-        self.store.ready = self.floor.update(self.store.version, now_ms)
+        self.store.ready = self.min_serving_version.update(
+            self.store.version, now_ms
+        )
 
     def _advanced(self, source: str = "") -> None:
         # A read of the log may end after a peer brought the same records; what
@@ -196,14 +200,14 @@
                 "config.in_force",
                 extra={"version": version, "at_ms": self.clock.wall_ms()},
             )
-            self._do(self.distribution.advanced(before, version, source))
+            self._do(self.distribution.on_applied(before, version, source))
             self._update_ready()
 
     def _note_lag(self) -> None:
         # Only a change that has just come tells how long changes take; what a
         # starting node catches up with is old.
-        if self.store.ready and self.store.newest_at_ms:
-            passed_ms = self.clock.wall_ms() - self.store.newest_at_ms
+        if self.store.ready and self.store.newest_change_at_ms:
+            passed_ms = self.clock.wall_ms() - self.store.newest_change_at_ms
             self.lag_ms = max(0, passed_ms)
 
     async def _beat(self) -> None:
@@ -227,7 +231,7 @@
 
     def receive(self, frame: WireMessage) -> None:
         """Takes a peer's frame about the configuration."""
-        take_frame(frame, self)
+        handle_frame(frame, self)
 
     def _do(
         self, actions: list[PushRecords | SendDigest | PullRecords]
@@ -259,7 +263,7 @@
     async def _sleep(self, pause_ms: int) -> None:
         await asyncio.sleep(pause_ms / _MS_PER_S)
 
-    def take_records(self, push: RecordsPush) -> None:
+    def handle_records(self, push: RecordsPush) -> None:
         """Applies records that a peer sent."""
         before = self.store.version
         for index, data in enumerate(push.records):
@@ -280,7 +284,7 @@
         if (gap or full) and push.address and not self.store.blocked:
             self._do([PullRecords(push.address, push.version, 0)])
 
-    def take_snapshot(self, push: SnapshotPush) -> None:
+    def handle_snapshot(self, push: SnapshotPush) -> None:
         """Takes over a snapshot that a peer sent."""
         try:
             record = decode(push.data, records.KINDS)
@@ -288,20 +292,22 @@
             _logger.warning("config.bad_push", extra={"error": str(error)})
             return
         if isinstance(record, SnapshotRecord) and self.store.restore(record):
-            self.writer.schedule.hear(
+            self.writer.schedule.on_snapshot_age(
                 push.logged_as_of, push.logged_age_ms, self.clock.now_ms()
             )
             self._advanced(push.address)
 
-    def take_digest(self, digest: VersionDigest) -> None:
+    def handle_digest(self, digest: VersionDigest) -> None:
         """Takes a peer's version."""
         now_ms = self.clock.now_ms()
         heard = max(digest.version, digest.heard_version)
-        self.floor.hear_peer(heard, digest.ready, now_ms)
-        self._do(self.distribution.hear(digest, self.store.version, now_ms))
+        self.min_serving_version.on_peer_version(heard, digest.ready, now_ms)
+        self._do(
+            self.distribution.on_digest(digest, self.store.version, now_ms)
+        )
         self._update_ready()
 
-    def take_pull(self, pull: RecordsPull) -> None:
+    def handle_pull(self, pull: RecordsPull) -> None:
         """Answers a peer that is behind."""
         if pull.address and pull.from_offset < self.store.version:
             self._do([PushRecords(pull.address, pull.from_offset)])
--- a/packages/pomelobank-node/src/pomelobank_node/_config_frames.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_config_frames.py
@@ -57,42 +57,42 @@
     pushes_sent: int
     snapshots_sent: int
 
-    def take_records(self, push: RecordsPush) -> None:
+    def handle_records(self, push: RecordsPush) -> None:
         """Takes records that a peer sent."""
 
-    def take_snapshot(self, push: SnapshotPush) -> None:
+    def handle_snapshot(self, push: SnapshotPush) -> None:
         """Takes a snapshot that a peer sent."""
 
-    def take_digest(self, digest: VersionDigest) -> None:
+    def handle_digest(self, digest: VersionDigest) -> None:
         """Takes a peer's version."""
 
-    def take_pull(self, pull: RecordsPull) -> None:
+    def handle_pull(self, pull: RecordsPull) -> None:
         """Answers a peer that lacks records."""
 
 
 @functools.singledispatch
-def take_frame(frame: WireMessage, feed: FeedState) -> None:
+def handle_frame(frame: WireMessage, feed: FeedState) -> None:
     """Hands a frame to the feed; others are ignored."""
 
 
-@take_frame.register(RecordsPush)
+@handle_frame.register(RecordsPush)
 def _(frame: RecordsPush, feed: FeedState) -> None:
-    feed.take_records(frame)
+    feed.handle_records(frame)
 
 
-@take_frame.register(SnapshotPush)
+@handle_frame.register(SnapshotPush)
 def _(frame: SnapshotPush, feed: FeedState) -> None:
-    feed.take_snapshot(frame)
+    feed.handle_snapshot(frame)
 
 
-@take_frame.register(VersionDigest)
+@handle_frame.register(VersionDigest)
 def _(frame: VersionDigest, feed: FeedState) -> None:
-    feed.take_digest(frame)
+    feed.handle_digest(frame)
 
 
-@take_frame.register(RecordsPull)
+@handle_frame.register(RecordsPull)
 def _(frame: RecordsPull, feed: FeedState) -> None:
-    feed.take_pull(frame)
+    feed.handle_pull(frame)
 
 
 @functools.singledispatch
@@ -109,7 +109,7 @@
         version=version,
         next_offset=version,
         address=feed.members.own.peer_address,
-        heard_version=max(version, feed.distribution.heard_version),
+        heard_version=max(version, feed.distribution.known_version),
         log_age_ms=feed.distribution.log_age_ms(feed.clock.now_ms()),
         heartbeat=action.heartbeat,
         ready=feed.store.ready,
@@ -137,7 +137,7 @@
     found = store.recent.since(action.from_version, PUSH_LIMIT)
     if not found:
         feed.snapshots_sent += 1
-        data = store.whole(feed.settings.node, feed.clock.wall_ms())
+        data = store.encoded_snapshot(feed.settings.node, feed.clock.wall_ms())
         return SnapshotPush(
             data=data,
             address=address,
--- a/packages/pomelobank-node/src/pomelobank_node/_config_outbox.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_config_outbox.py
@@ -14,7 +14,7 @@
 # and the next digest finds out what it has missed.
 SEND_TIMEOUT_S = 2.0
 
-Action = PushRecords | SendDigest | PullRecords
+DistributionAction = PushRecords | SendDigest | PullRecords
 
 
 @attrs.define(eq=False)
@@ -28,14 +28,14 @@
     Attributes:
         address: The peer's address.
         send: Builds and sends an action's frame.
-        waiting: What is still to be sent, by type.
+        pending: What is still to be sent, by type.
         task: The sending task, None while there is nothing to send.
         failures: Frames that could not be sent.
     """
 
     address: str
-    send: Callable[[str, Action], Awaitable[None]]
-    waiting: dict[type, Action] = attrs.field(factory=dict)
+    send: Callable[[str, DistributionAction], Awaitable[None]]
+    pending: dict[type, DistributionAction] = attrs.field(factory=dict)
     task: asyncio.Task[None] | None = None
     failures: int = 0
 
@@ -44,23 +44,23 @@
         """Whether something is being sent or waits."""
         return self.task is not None and not self.task.done()
 
-    def put(self, action: Action) -> None:
+    def put(self, action: DistributionAction) -> None:
         """Adds an action, merged with one of its type that still waits."""
-        known = self.waiting.get(type(action))
+        known = self.pending.get(type(action))
         if isinstance(known, PushRecords) and isinstance(action, PushRecords):
             lowest = min(known.from_version, action.from_version)
             action = PushRecords(self.address, lowest)
-        self.waiting[type(action)] = action
+        self.pending[type(action)] = action
         if not self.busy:
             self.task = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
-        while self.waiting:
-            kind = next(iter(self.waiting))
-            action = self.waiting[kind]
+        while self.pending:
+            kind = next(iter(self.pending))
+            action = self.pending[kind]
             if isinstance(action, PullRecords) and action.delay_ms:
                 await asyncio.sleep(action.delay_ms / _MS_PER_S)
-            action = self.waiting.pop(kind)
+            action = self.pending.pop(kind)
             try:
                 async with asyncio.timeout(SEND_TIMEOUT_S):
                     await self.send(self.address, action)
--- a/packages/pomelobank-node/src/pomelobank_node/_config_store.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_config_store.py
@@ -8,7 +8,7 @@
 from returns.result import Failure
 
 from pomelobank_core import (
-    ChangeVerdict,
+    ChangeDecision,
     ConfigState,
     RouteTable,
     adopt_snapshot,
@@ -34,26 +34,26 @@
 
     Attributes:
         first_offset: Offset of the oldest.
-        items: Their bytes.
+        records: Their bytes.
         size_bytes: Sum of their lengths, in bytes.
     """
 
     first_offset: int = 0
-    items: list[bytes] = attrs.field(factory=list)
+    records: list[bytes] = attrs.field(factory=list)
     size_bytes: int = 0
 
     def add(self, offset: int, data: bytes) -> None:
         """Keeps one record; after a gap, the older ones are dropped."""
-        if offset != self.first_offset + len(self.items):
-            self.first_offset, self.items, self.size_bytes = offset, [], 0
-        self.items.append(data)
+        if offset != self.first_offset + len(self.records):
+            self.first_offset, self.records, self.size_bytes = offset, [], 0
+        self.records.append(data)
         self.size_bytes += len(data)
         while self._too_many():
-            self.size_bytes -= len(self.items.pop(0))
+            self.size_bytes -= len(self.records.pop(0))
             self.first_offset += 1
 
     def _too_many(self) -> bool:
-        count = len(self.items)
+        count = len(self.records)
         return count > MAX_RECENT_RECORDS or (
             count > 1 and self.size_bytes > MAX_RECENT_BYTES
         )
@@ -63,7 +63,7 @@
         start = offset - self.first_offset
         if start < 0:
             return ()
-        return tuple(self.items[start : start + limit])
+        return tuple(self.records[start : start + limit])
 
 
 @attrs.define
@@ -76,13 +76,13 @@
     Attributes:
         state: What replay derived from the log so far.
         routes: The routes of that state, prepared for matching.
-        ready: Whether callers may be served; see VersionFloor.
+        ready: Whether callers may be served; see MinServingVersion.
         blocked: Set once a record of an unknown kind stopped the replay.
-        moved: Replaced and set at every move of the version.
+        changed: Replaced and set at every move of the version.
         recent: Raw records, kept for peers.
         on_snapshot: Called with each snapshot record that replay passes.
-        newest_at_ms: When the newest change applied was asked for, in ms since
-            the epoch.
+        newest_change_at_ms: When the newest change applied was asked for, in ms
+            since the epoch.
         applied: Number of records that were applied, for the metrics.
         restored: Number of snapshots that were taken over, for the metrics.
         unreadable: Number of records that were passed over, for the metrics.
@@ -97,10 +97,10 @@
     )
     ready: bool = False
     blocked: bool = False
-    moved: asyncio.Event = attrs.field(factory=asyncio.Event)
+    changed: asyncio.Event = attrs.field(factory=asyncio.Event)
     recent: RecentRecords = attrs.field(factory=RecentRecords)
     on_snapshot: Callable[[SnapshotRecord], None] | None = None
-    newest_at_ms: int = 0
+    newest_change_at_ms: int = 0
     applied: int = 0
     restored: int = 0
     unreadable: int = 0
@@ -132,7 +132,7 @@
             self._pass_snapshot(record)
         change = record if isinstance(record, records.ChangeRecord) else None
         if change is not None:
-            self.newest_at_ms = change.at_ms
+            self.newest_change_at_ms = change.at_ms
         self._move(advance(self.state, offset, change), data)
         return True
 
@@ -164,7 +164,7 @@
         self._swap(state)
         return True
 
-    def whole(self, node: str, at_ms: int) -> bytes:
+    def encoded_snapshot(self, node: str, at_ms: int) -> bytes:
         """Returns a snapshot record of the state, encoded.
 
         After a herd restart many peers ask for it within seconds; making it
@@ -216,11 +216,11 @@
         if state.snapshot.objects is not self.state.snapshot.objects:
             self.routes = RouteTable.of(state.snapshot)
         self.state = state
-        moved, self.moved = self.moved, asyncio.Event()
+        moved, self.changed = self.changed, asyncio.Event()
         moved.set()
 
-    async def wait_for_change(self, change_id: str) -> ChangeVerdict:
+    async def wait_for_change(self, change_id: str) -> ChangeDecision:
         """Waits until a change was read back and returns its verdict."""
-        while (verdict := self.state.verdicts.get(change_id)) is None:
-            await self.moved.wait()
+        while (verdict := self.state.decisions.get(change_id)) is None:
+            await self.changed.wait()
         return verdict
--- a/packages/pomelobank-node/src/pomelobank_node/_contact_finder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_contact_finder.py
@@ -8,11 +8,11 @@
 
 from pomelobank_core import (
     TAIL_RECORDS,
+    BootstrapContacts,
     Clock,
-    FirstContact,
     Swim,
     contacts_record,
-    is_announcer,
+    maintains_contacts,
 )
 from pomelobank_node._log import (
     MEMBERS_STREAM,
@@ -46,7 +46,7 @@
     """Joins the mesh, then keeps the contacts in the log fresh.
 
     Attributes:
-        contact: Decides whom to try and when to announce.
+        contacts: Decides whom to try and when to announce.
         swim: The node's membership.
         log: Where contacts are announced.
         links: Streams to peers.
@@ -57,7 +57,7 @@
         announcements: Records appended, for the metrics.
     """
 
-    contact: FirstContact
+    contacts: BootstrapContacts
     swim: Swim
     log: Log
     links: PeerLinks
@@ -76,7 +76,7 @@
             await _sleep_ms(random.uniform(0, retry_ms))
             retry_ms = min(2 * retry_ms, _MAX_RETRY_MS)
         while True:
-            if not is_announcer(self.swim.table):
+            if not maintains_contacts(self.swim.table):
                 pause_s = _REFRESH_CHECK_S * random.uniform(0.5, 1.5)
                 await asyncio.sleep(pause_s)
                 continue
@@ -95,7 +95,7 @@
 
     async def _join_by_contacts(self) -> bool:
         own = self.swim.table.own.peer_address
-        addresses = self.contact.next_addresses(own)
+        addresses = self.contacts.next_addresses(own)
         tries = [self._try(address) for address in addresses]
         if any(await asyncio.gather(*tries)):
             await self._wait_joined(_ANSWER_S)
@@ -103,7 +103,9 @@
 
     async def _try(self, address: str) -> bool:
         try:
-            await self.links.to(address).send(self.swim.compare(address).frame)
+            await self.links.to(address).send(
+                self.swim.sync_request(address).frame
+            )
         except RequestError:
             return False
         return True
@@ -144,7 +146,7 @@
         Returns:
             How much longer the read took than it was meant to wait.
         """
-        wait_ms = self.contact.announce_wait_ms(read_ms)
+        wait_ms = self.contacts.announce_wait_ms(read_ms)
         begun_ms = self.clock.now_ms()
         await self._read_contacts(wait_ms)
         left_ms = begun_ms + wait_ms - self.clock.now_ms()
@@ -158,7 +160,7 @@
 
     async def _join_by_new_contacts(self) -> bool:
         own = self.swim.table.own.peer_address
-        while not self.joined.is_set() and self.contact.has_unattempted(own):
+        while not self.joined.is_set() and self.contacts.has_unattempted(own):
             await self._join_by_contacts()
         return self.joined.is_set()
 
@@ -168,7 +170,7 @@
             # Old records name members that were most likely replaced.
             self.next_offset = page.end_offset - TAIL_RECORDS
             page = await self._read_on(0)
-        self.contact.take_records(page.records)
+        self.contacts.add_records(page.records)
 
     async def _read_on(self, wait_ms: int) -> LogPage:
         page = await read_retained(
@@ -197,14 +199,14 @@
             await self._refresh()
             await self._read_contacts(_LOOK_MS)
             known = self._present_addresses()
-            strangers = self.contact.strangers(known)
+            strangers = self.contacts.next_unknown_addresses(known)
             await asyncio.gather(*(self._try(item) for item in strangers))
         except LogError as error:
             _logger.warning("members.log_failed", extra={"error": str(error)})
 
     async def _refresh(self) -> None:
         wall_ms = self.clock.wall_ms()
-        if self.contact.needs_refresh(self._present_addresses(), wall_ms):
+        if self.contacts.needs_refresh(self._present_addresses(), wall_ms):
             source = self.swim.random
             record = contacts_record(self.swim.table, source, wall_ms)
             self.announcements += 1
--- a/packages/pomelobank-node/src/pomelobank_node/_departure_log.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_departure_log.py
@@ -42,22 +42,22 @@
         first_start: Whether there was no earlier process, so that nothing is
             to be read.
         departures: Those that are known.
-        read: Set once those in the log are known.
-        opened: Set when nobody waits for the log any more.
+        loaded: Set once those in the log are known.
+        ready: Set when nobody waits for the log any more.
     """
 
     log: Log
     first_start: bool = False
     departures: Departures = attrs.field(factory=Departures)
-    read: asyncio.Event = attrs.field(factory=asyncio.Event)
-    opened: asyncio.Event = attrs.field(factory=asyncio.Event)
+    loaded: asyncio.Event = attrs.field(factory=asyncio.Event)
+    ready: asyncio.Event = attrs.field(factory=asyncio.Event)
     tasks: list[asyncio.Task[None]] = attrs.field(factory=list)
 
     async def start(self) -> None:
         """Begins to read what an earlier process has acknowledged."""
         if self.first_start:
-            self.read.set()
-            self.opened.set()
+            self.loaded.set()
+            self.ready.set()
             return
         self.tasks = [
             asyncio.create_task(self._read_until_done()),
@@ -74,11 +74,11 @@
         """Takes note of a departure in this process."""
         self.departures.add(departure)
 
-    def cover(self, target: TargetAnnouncement) -> bool:
+    def has_departed(self, target: TargetAnnouncement) -> bool:
         """Tells whether a target has said that it leaves."""
-        return self.departures.cover(target)
+        return self.departures.has_departed(target)
 
-    async def keep(self, departure: DepartureRecord) -> None:
+    async def persist(self, departure: DepartureRecord) -> None:
         """Returns once a departure is in the log.
 
         Raises:
@@ -97,17 +97,17 @@
         # have not; a mesh that starts then would serve nobody until the log is
         # back. What is found later still takes the target out.
         await asyncio.sleep(READ_WAIT_S)
-        if not self.opened.is_set():
+        if not self.ready.is_set():
             _logger.warning("departures.not_read")
-            self.opened.set()
+            self.ready.set()
 
     async def _read_until_done(self) -> None:
         retry_ms = _FIRST_RETRY_MS
         while not await self._read():
             await asyncio.sleep(random.uniform(0, retry_ms) / _MS_PER_S)
             retry_ms = min(2 * retry_ms, _MAX_RETRY_MS)
-        self.read.set()
-        self.opened.set()
+        self.loaded.set()
+        self.ready.set()
 
     async def _read(self) -> bool:
         offset = 0
--- a/packages/pomelobank-node/src/pomelobank_node/_log_output.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log_output.py
@@ -10,7 +10,7 @@
 # longer write could wait for its reader.
 _WHOLE_BYTES = 4096
 # Lines that wait for a reader: some seconds of an incident, and half a MB.
-MAX_WAITING = 2000
+MAX_BUFFERED_CHUNKS = 2000
 
 
 @attrs.define(eq=False)
@@ -23,12 +23,12 @@
 
     Attributes:
         descriptor: Where lines go.
-        waiting: Lines that were not written yet, the oldest first.
+        buffered: Lines that were not written yet, the oldest first.
         dropped: Lines that found no room, for the metrics.
     """
 
     descriptor: int
-    waiting: deque[bytes] = attrs.field(factory=deque)
+    buffered: deque[bytes] = attrs.field(factory=deque)
     dropped: int = 0
     poll: select.poll = attrs.field(init=False)
 
@@ -40,25 +40,25 @@
         """Takes a line, or a part of one."""
         data = text.encode(errors="replace")
         parts = range(0, len(data), _WHOLE_BYTES)
-        if len(self.waiting) + len(parts) > MAX_WAITING:
+        if len(self.buffered) + len(parts) > MAX_BUFFERED_CHUNKS:
             self.dropped += 1
             return len(text)
         for at in parts:
-            self.waiting.append(data[at : at + _WHOLE_BYTES])
+            self.buffered.append(data[at : at + _WHOLE_BYTES])
         self.flush()
         return len(text)
 
     def flush(self) -> None:
         """Writes what the reader takes without a wait."""
-        while self.waiting and self._is_writable():
+        while self.buffered and self._is_writable():
             try:
-                os.write(self.descriptor, self.waiting[0])
+                os.write(self.descriptor, self.buffered[0])
             except OSError:
                 # Nobody reads any more, and there is nowhere to say so.
-                self.dropped += len(self.waiting)
-                self.waiting.clear()
+                self.dropped += len(self.buffered)
+                self.buffered.clear()
                 return
-            self.waiting.popleft()
+            self.buffered.popleft()
 
     def _is_writable(self) -> bool:
         return any(event & select.POLLOUT for _, event in self.poll.poll(0))
--- a/packages/pomelobank-node/src/pomelobank_node/_log_budget.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log_rate_limiter.py
@@ -5,13 +5,13 @@
 # Lines a second. At 79 us a line (20,000 lines in a loop, a busy machine) the
 # bounds of the entry and of the owner in one process cost 1.7% of a core
 # together, whatever the load.
-SUCCESS_PER_S = 10
-FAILURES_PER_S = 100
+MAX_SUCCESSES_PER_S = 10
+MAX_FAILURES_PER_S = 100
 _MS_PER_S = 1000
 
 
 @attrs.define
-class LogBudget:
+class LogRateLimiter:
     """Decides which requests get a line.
 
     Made for an overload: with a line for each of thousands of refusals a
@@ -33,23 +33,23 @@
     dropped: int = 0
     dropped_total: int = 0
 
-    def may_tell_success(self, now_ms: int) -> bool:
+    def allow_success(self, now_ms: int) -> bool:
         """Tells whether a success gets a line."""
         self._turn(now_ms)
         self.successes += 1
-        return self.successes <= SUCCESS_PER_S
+        return self.successes <= MAX_SUCCESSES_PER_S
 
-    def may_tell_failure(self, now_ms: int) -> bool:
+    def allow_failure(self, now_ms: int) -> bool:
         """Tells whether a failure gets a line; counts it where not."""
         self._turn(now_ms)
         self.failures += 1
-        if self.failures <= FAILURES_PER_S:
+        if self.failures <= MAX_FAILURES_PER_S:
             return True
         self.dropped += 1
         self.dropped_total += 1
         return False
 
-    def take_dropped(self) -> int:
+    def pop_dropped(self) -> int:
         """Returns the failures left out since the last call."""
         dropped, self.dropped = self.dropped, 0
         return dropped
--- a/packages/pomelobank-node/src/pomelobank_node/_membership.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_membership.py
@@ -9,15 +9,15 @@
 import attrs
 
 from pomelobank_core import (
-    Action,
+    BootstrapContacts,
     Clock,
-    FirstContact,
     MemberState,
     MemberTable,
-    Reply,
-    Send,
+    ReplyFrame,
+    SendFrame,
     Swim,
-    take_frame,
+    SwimAction,
+    handle_frame,
 )
 from pomelobank_node._contact_finder import ContactFinder
 from pomelobank_node._log import Log
@@ -93,7 +93,11 @@
         source = random.Random()
         self.swim = Swim(self.table, self.settings, source)
         self.finder = ContactFinder(
-            FirstContact(source), self.swim, self.log, self.links, self.clock
+            BootstrapContacts(source),
+            self.swim,
+            self.log,
+            self.links,
+            self.clock,
         )
         # Half of the handshakes stay free for requests, so that frames to
         # members that do not answer cannot hold requests up.
@@ -103,7 +107,7 @@
     async def start(self) -> None:
         """Starts the tasks that join the mesh and watch its members."""
         self.links.on_frame = self._take_from_link
-        self.finder.contact.add(self.settings.seeds)
+        self.finder.contacts.add(self.settings.seeds)
         self.tasks = [
             asyncio.create_task(self._run(), name="membership"),
             asyncio.create_task(self.finder.run(), name="first-contact"),
@@ -127,7 +131,7 @@
             frame: The frame.
             reply: Sends a frame back on the same stream.
         """
-        actions = take_frame(frame, self.swim, self.clock.now_ms())
+        actions = handle_frame(frame, self.swim, self.clock.now_ms())
         self._act(actions, reply)
         self._note_changes()
         self._plan()
@@ -151,8 +155,10 @@
         if tasks:
             await asyncio.wait(tasks, timeout=_TELL_ALL_S)
 
-    def _has_stream(self, action: Action) -> bool:
-        return isinstance(action, Send) and self.links.is_open(action.address)
+    def _has_stream(self, action: SwimAction) -> bool:
+        return isinstance(action, SendFrame) and self.links.is_open(
+            action.address
+        )
 
     async def leave(self) -> None:
         """Tells every member that this node has ended its work."""
@@ -186,7 +192,7 @@
         self._note_changes()
 
     def _note_changes(self) -> None:
-        for entry in self.swim.take_changes():
+        for entry in self.swim.pop_changes():
             _logger.log(
                 _LEVELS.get(entry.state, logging.DEBUG),
                 "members.changed",
@@ -211,18 +217,18 @@
 
     def _act(
         self,
-        actions: Iterable[Action],
+        actions: Iterable[SwimAction],
         reply: Callable[[WireMessage], None] | None = None,
     ) -> list[asyncio.Task[None]]:
         tasks = []
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendFrame):
                 tasks += self._post(action)
-            elif isinstance(action, Reply) and reply is not None:
+            elif isinstance(action, ReplyFrame) and reply is not None:
                 reply(action.frame)
         return tasks
 
-    def _post(self, action: Send) -> list[asyncio.Task[None]]:
+    def _post(self, action: SendFrame) -> list[asyncio.Task[None]]:
         if len(self.deliveries) >= _MAX_DELIVERIES:
             self.dropped_frames += 1
             return []
@@ -231,10 +237,10 @@
         task.add_done_callback(self.deliveries.discard)
         return [task]
 
-    async def _deliver(self, action: Send) -> None:
+    async def _deliver(self, action: SendFrame) -> None:
         try:
             async with self.slots:
                 await self.links.to(action.address).send(action.frame)
         except RequestError:
             self.failed_sends += 1
-            self._act(self.swim.unreachable(action.address))
+            self._act(self.swim.on_unreachable(action.address))
--- a/packages/pomelobank-node/src/pomelobank_node/_operator.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_operator.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from pomelobank_core import (
-    ChangeVerdict,
+    ChangeDecision,
     Clock,
     ObjectKey,
     Problem,
@@ -84,7 +84,7 @@
             record = change_record(request, change_id, self.clock.wall_ms())
         except SchemaError as error:
             return _invalid(change_id, error)
-        known = self.store.state.verdicts.get(change_id)
+        known = self.store.state.decisions.get(change_id)
         if known is not None:
             return _same_or_rejected(known, record)
         problems = self._check(record)
@@ -111,7 +111,7 @@
                 await self.feed.catch_up()
         except (LogError, TimeoutError):
             return _unknown(record.change_id, _LOG_SILENT)
-        known = self.store.state.verdicts.get(record.change_id)
+        known = self.store.state.decisions.get(record.change_id)
         if known is not None:
             return _same_or_rejected(known, record)
         problems = self._check(record)
@@ -139,7 +139,7 @@
         except TimeoutError:
             return _unknown(record.change_id, _LOG_SILENT)
 
-    async def _read_back(self, change_id: str) -> ChangeVerdict:
+    async def _read_back(self, change_id: str) -> ChangeDecision:
         reading = asyncio.create_task(self._keep_reading(change_id))
         try:
             return await self.store.wait_for_change(change_id)
@@ -148,7 +148,7 @@
 
     async def _keep_reading(self, change_id: str) -> None:
         pause_ms = READ_BACK_PAUSE_MS
-        while change_id not in self.store.state.verdicts:
+        while change_id not in self.store.state.decisions:
             with contextlib.suppress(LogError):
                 await self.feed.catch_up()
             await asyncio.sleep(pause_ms / _MS_PER_S)
@@ -158,7 +158,7 @@
         self, request: pb.ChangeRequest, context: object
     ) -> pb.ApplyReply:
         """Looks up an earlier change by its id."""
-        verdict = self.store.state.verdicts.get(request.change_id)
+        verdict = self.store.state.decisions.get(request.change_id)
         if verdict is not None:
             return _verdict_reply(verdict)
         try:
@@ -166,7 +166,7 @@
                 await self.feed.catch_up()
         except (LogError, TimeoutError):
             return _unknown(request.change_id, _LOG_SILENT)
-        verdict = self.store.state.verdicts.get(request.change_id)
+        verdict = self.store.state.decisions.get(request.change_id)
         if verdict is None:
             return _unknown(request.change_id, _NOT_IN_LOG)
         return _verdict_reply(verdict)
@@ -186,7 +186,7 @@
         self, request: pb.AuditRequest, context: object
     ) -> pb.AuditReply:
         """Returns what was asked for, by whom, and what was decided."""
-        verdicts = reversed(list(self.store.state.verdicts.values()))
+        verdicts = reversed(list(self.store.state.decisions.values()))
         entries = [
             entry
             for entry in map(_audit_entry, verdicts)
@@ -226,7 +226,7 @@
     return str(item[0])
 
 
-def _verdict_reply(verdict: ChangeVerdict) -> pb.ApplyReply:
+def _verdict_reply(verdict: ChangeDecision) -> pb.ApplyReply:
     status = pb.CHANGE_ACCEPTED if verdict.accepted else pb.CHANGE_REJECTED
     return pb.ApplyReply(
         change_id=verdict.change_id,
@@ -237,7 +237,7 @@
 
 
 def _same_or_rejected(
-    known: ChangeVerdict, record: ChangeRecord
+    known: ChangeDecision, record: ChangeRecord
 ) -> pb.ApplyReply:
     if known.digest == operations_digest(record):
         return _verdict_reply(known)
@@ -278,7 +278,7 @@
     )
 
 
-def _audit_entry(verdict: ChangeVerdict) -> pb.AuditEntry:
+def _audit_entry(verdict: ChangeDecision) -> pb.AuditEntry:
     return pb.AuditEntry(
         version=verdict.version,
         change_id=verdict.change_id,
--- a/packages/pomelobank-node/src/pomelobank_node/_owner.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_owner.py
@@ -21,7 +21,7 @@
 from pomelobank_node._crash_detector import CrashDetector
 from pomelobank_node._crash_reports import CrashReports
 from pomelobank_node._http_conventions import HttpConventions
-from pomelobank_node._log_budget import LogBudget
+from pomelobank_node._log_rate_limiter import LogRateLimiter
 from pomelobank_node._logging import request_id
 from pomelobank_node._requests import (
     ForwardReply,
@@ -103,7 +103,7 @@
     pool: UpstreamPool | None = None
     admission_queue: AdmissionQueue = attrs.field()
     crash_detector: CrashDetector = attrs.field()
-    log_limiter: LogBudget = attrs.field(factory=LogBudget)
+    log_limiter: LogRateLimiter = attrs.field(factory=LogRateLimiter)
     draining: bool = False
     shutdown_admission: ShutdownAdmission = attrs.field(
         factory=ShutdownAdmission
@@ -169,7 +169,7 @@
     def _log_failure(
         self, request: ForwardRequest, error: RequestError
     ) -> None:
-        if not self.log_limiter.may_tell_failure(self.clock.now_ms()):
+        if not self.log_limiter.allow_failure(self.clock.now_ms()):
             return
         admission = self.admission_queue.admission
         _logger.info(
@@ -188,7 +188,7 @@
                     self.admission_queue.expected_service_ms(request.route)
                 ),
                 "instance": self.target.instance if self.target else "",
-                "lines_dropped": self.log_limiter.take_dropped(),
+                "lines_dropped": self.log_limiter.pop_dropped(),
             },
         )
 
--- a/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
@@ -219,7 +219,7 @@
             listen.peer, self.owner, self.membership, self.feed, None
         )
         self.limits = LimitsWatch(self.store, self.http)
-        self.membership.on_tick += [self.feed.tend, self._sweep]
+        self.membership.on_tick += [self.feed.tick, self._sweep]
 
     def _sweep(self, _: int) -> None:
         for server in (self.http, self.readiness_server, self.control_server):
@@ -279,7 +279,7 @@
         try:
             async with asyncio.timeout(CONFIG_WAIT_MS / _MS_PER_S):
                 while not self.store.ready:
-                    await self.store.moved.wait()
+                    await self.store.changed.wait()
         except TimeoutError:
             _logger.info("node.config_wait_timed_out")
 
@@ -391,4 +391,4 @@
         while True:
             if self.store.ready:
                 self.server.limits = self.store.config.limits
-            await self.store.moved.wait()
+            await self.store.changed.wait()
--- a/packages/pomelobank-node/src/pomelobank_node/_snapshot_writer.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_snapshot_writer.py
@@ -39,9 +39,11 @@
     clock: Clock
     written: int = 0
 
-    def saw(self, record: SnapshotRecord) -> None:
+    def on_snapshot(self, record: SnapshotRecord) -> None:
         """Notes a snapshot that replay came past."""
-        self.schedule.seen(record, self.clock.now_ms(), self.clock.wall_ms())
+        self.schedule.on_snapshot(
+            record, self.clock.now_ms(), self.clock.wall_ms()
+        )
 
     def age_ms(self) -> int:
         """Returns the age of the newest snapshot, or of the oldest record."""
@@ -52,10 +54,10 @@
         return self.clock.now_ms() - self.schedule.written_ms
 
     def _hear_oldest(self) -> None:
-        oldest = next(iter(self.store.state.verdicts.values()), None)
+        oldest = next(iter(self.store.state.decisions.values()), None)
         if oldest is not None:
             age_ms = self.clock.wall_ms() - oldest.at_ms
-            self.schedule.hear(0, age_ms, self.clock.now_ms())
+            self.schedule.on_snapshot_age(0, age_ms, self.clock.now_ms())
 
     async def write_if_due(self) -> None:
         """Writes a snapshot where one is due and it is this node's turn."""
@@ -73,7 +75,7 @@
             return
         # Until it was read back the schedule stays due: an append whose
         # answer was lost may not have happened. A second one is harmless.
-        self.schedule.failed(now_ms)
+        self.schedule.on_write_failed(now_ms)
         record = snapshot_record(
             self.store.state, self.schedule.node, self.clock.wall_ms()
         )
--- a/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
@@ -84,7 +84,7 @@
         """Takes an announcement of the target."""
         # A process that has just started knows nothing of what the one before
         # it has acknowledged; the log does.
-        await self.departures.opened.wait()
+        await self.departures.ready.wait()
         if self._has_left(announcement):
             announcement = attrs.evolve(announcement, draining=True)
         change = self.lease.on_announcement(announcement, self.clock.now_ms())
@@ -103,20 +103,20 @@
             # Without a name only a silence tells a new start, and the lease
             # has noticed it.
             return False
-        return self.departures.cover(target)
+        return self.departures.has_departed(target)
 
     def _note_return(self, target: TargetAnnouncement) -> None:
         # The departure of a target without a name is that of its next start
         # too; left in the log it would drain that one with each restart of
         # this node.
-        if self.departures.cover(target):
+        if self.departures.has_departed(target):
             departure = attrs.evolve(_departure_of(target), returned=True)
             self.departures.add(departure)
             self._begin(self._keep_return(departure))
 
     async def _keep_return(self, departure: DepartureRecord) -> None:
         try:
-            await self.departures.keep(departure)
+            await self.departures.persist(departure)
         except LogError as error:
             _logger.warning(
                 "target.return_not_kept", extra={"error": str(error)}
@@ -178,7 +178,7 @@
         if target is not None and is_departure_of(departure, target):
             # Telling every peer may take longer than the target waits.
             self._begin(self._drain())
-        await self.departures.keep(departure)
+        await self.departures.persist(departure)
 
     async def drain(self) -> None:
         """Takes the target out of the mesh until it starts again.
@@ -197,9 +197,9 @@
             await self._tell_draining()
 
     async def _drain_departed(self) -> None:
-        await self.departures.read.wait()
+        await self.departures.loaded.wait()
         target = self.lease.announcement
-        if target is not None and self.departures.cover(target):
+        if target is not None and self.departures.has_departed(target):
             await self._drain()
 
     async def close(self) -> None:
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
@@ -18,7 +18,7 @@
     end_to_end,
 )
 from pomelobank_node._latency_histogram import LatencyHistogram
-from pomelobank_node._log_budget import LogBudget
+from pomelobank_node._log_rate_limiter import LogRateLimiter
 from pomelobank_node._logging import request_id
 from pomelobank_node._requests import ForwardReply, RequestError, reply_error
 from pomelobank_node._tracing import RequestTrace, begin_trace
@@ -90,7 +90,7 @@
     origin: str = ""
     outcomes: Counter[str] = attrs.field(factory=Counter)
     latency: LatencyHistogram = attrs.field(factory=LatencyHistogram)
-    log_limiter: LogBudget = attrs.field(factory=LogBudget)
+    log_limiter: LogRateLimiter = attrs.field(factory=LogRateLimiter)
     draining: bool = False
 
     async def __call__(self, request: HttpRequest) -> HttpResponse:
@@ -210,7 +210,7 @@
         if answer.rest is None:
             self.outcomes[ANSWERED] += 1
         self.latency.add(self.clock.now_ms() - begun_ms)
-        if self.log_limiter.may_tell_success(self.clock.now_ms()):
+        if self.log_limiter.allow_success(self.clock.now_ms()):
             self._log("request.answered", trace, begun_ms, answer.status)
 
     def _note_refused(
@@ -228,7 +228,7 @@
     ) -> None:
         now_ms = self.clock.now_ms()
         if isinstance(outcome, ErrorKind):
-            if not self.log_limiter.may_tell_failure(now_ms):
+            if not self.log_limiter.allow_failure(now_ms):
                 return
             outcome = outcome.value
         _logger.info(
@@ -241,6 +241,6 @@
                 "had_ms": trace.deadline_ms,
                 "took_ms": now_ms - begun_ms,
                 "tries": [str(item) for item in trace.attempts],
-                "lines_dropped": self.log_limiter.take_dropped(),
+                "lines_dropped": self.log_limiter.pop_dropped(),
             },
         )
--- a/packages/pomelobank-node/src/pomelobank_node/published/_feed.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_feed.py
@@ -12,13 +12,16 @@
 from pomelobank_core import Clock, MemberTable, ReadingOrder, ReadingRole
 from pomelobank_node._peer_links import PeerLinks
 from pomelobank_node.published._packing import PackingError, unpack
+from pomelobank_node.published._peer_publisher import (
+    NO_READ_AGE_MS,
+    PeerPublisher,
+)
 from pomelobank_node.published._source import (
     Document,
     PublishedSource,
     SourceError,
 )
 from pomelobank_node.published._store import PublishedStore
-from pomelobank_node.published._telling import UNREAD, Telling
 from pomelobank_schema import WireMessage
 from pomelobank_schema.generated.peer import (
     DocumentPush,
@@ -40,12 +43,12 @@
 SETTLE_MS = 200
 # A node that has heard of no read of the source for so long reads itself: two
 # heartbeats that did not arrive.
-SILENCE_MS = 2500
+MAX_READ_AGE_MS = 2500
 # The further down a node is in the order of readers, the longer it waits, up to
 # four steps. Else all neighbours of a reader that went silent fetch a document
 # of 350 KB at once, and on lines of 2.5 Mbit/s each of them keeps its callers
 # waiting for a second.
-SILENCE_STEP_MS = 250
+RANK_DELAY_MS = 250
 _MOST_SILENCE_STEPS = 4
 # At its start a node on a slow line leaves the first read to others: a document
 # of 470 KB takes a second and a half on a line of 2.5 Mbit/s, from a neighbour
@@ -61,14 +64,14 @@
 REST_TOLD_MS = 1000
 # Pause before a peer that knows a newer version is asked for it; mostly the
 # document is on its way already.
-ASK_AFTER_MS = 120
+PULL_DELAY_MS = 120
 # Pause before a peer of another data centre is asked, for each neighbour that
 # comes before this node: one node brings the document into a data centre and
 # the others have it from there. Of two seconds in which operators expect a
 # change to be in force, the last one stays for that.
 # When every node that heard of a version from afar asked there, 15 versions of
 # 350 KB took 28 MB between five data centres of 63 nodes.
-ASK_FAR_AFTER_MS = 250
+REMOTE_PULL_DELAY_MS = 250
 _MOST_FAR_PAUSES = 4
 _FIRST_RETRY_MS = 50
 _MAX_RETRY_MS = 1000
@@ -95,12 +98,12 @@
         clock: Tells the time.
         seeded: Source of randomness.
         position: Place in the source up to which everything is known.
-        read_ms: When the source was last read, as far as this node knows.
+        last_read_ms: When the source was last read, as far as this node knows.
         heard_ms: When another node read the source last.
         reading: Whether a read is under way.
         source_up: Whether the last own read was answered.
         told_ms: When the last heartbeat was sent.
-        rests_until_ms: Until when reading is left to a node that can.
+        backoff_until_ms: Until when reading is left to a node that can.
         turn: Set when this node has to read.
         reads: Reads of the source, for the metrics.
         pulls_sent: Documents asked for, for the metrics.
@@ -120,12 +123,12 @@
     clock: Clock
     seeded: random.Random = attrs.field(factory=random.Random)
     position: int | None = None
-    read_ms: int = 0
+    last_read_ms: int = 0
     heard_ms: float = -math.inf
     reading: bool = False
     source_up: bool = True
     told_ms: int = 0
-    rests_until_ms: int = 0
+    backoff_until_ms: int = 0
     turn: asyncio.Event = attrs.field(factory=asyncio.Event)
     reads: int = 0
     pulls_sent: int = 0
@@ -136,17 +139,17 @@
     look_timer: asyncio.TimerHandle | None = None
     task: asyncio.Task[None] | None = None
     order: ReadingOrder = attrs.field(init=False)
-    telling: Telling = attrs.field(init=False)
+    publisher: PeerPublisher = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         self.order = ReadingOrder(self.members)
-        self.telling = Telling(
+        self.publisher = PeerPublisher(
             self.store, self.members, self.links, self.seeded
         )
 
     async def start(self) -> None:
         """Starts reading the source."""
-        self.read_ms = self.clock.now_ms()
+        self.last_read_ms = self.clock.now_ms()
         self.source.on_progress = self._note_progress
         self.task = asyncio.create_task(self._read(), name="published-reader")
 
@@ -157,9 +160,9 @@
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
-        await self.telling.stop()
+        await self.publisher.stop()
 
-    def tend(self, now_ms: int) -> None:
+    def tick(self, now_ms: int) -> None:
         """Does what is due; called once or twice a second."""
         role = self.order.role(now_ms)
         is_informed = role is not ReadingRole.FOLLOWER
@@ -167,7 +170,7 @@
             self._tell(role, self._read_age_ms())
         if self._has_to_read():
             self.turn.set()
-        self._look_for_newer()
+        self._check_for_newer()
 
     # Reading the source.
 
@@ -178,7 +181,7 @@
             if not self._has_to_read():
                 await self._wait_for_turn()
                 continue
-            if self._may_rest():
+            if self._may_back_off():
                 self._tell_unread()
                 await asyncio.sleep(REST_TOLD_MS / _MS_PER_S)
                 continue
@@ -186,7 +189,7 @@
                 news = await self._read_once()
             except SourceError as error:
                 self._note_source(up=False, reason=error.message)
-                self.rests_until_ms = self.clock.now_ms() + REST_MS
+                self.backoff_until_ms = self.clock.now_ms() + REST_MS
                 self._tell_unread()
                 # Full jitter: nodes that lost the source together would
                 # otherwise come back to it in the same instant.
@@ -205,13 +208,13 @@
         try:
             async with asyncio.timeout(pause_ms / _MS_PER_S):
                 while not self.store.ready:
-                    await self.store.moved.wait()
+                    await self.store.changed.wait()
         except TimeoutError:
             return
 
     async def _wait_for_turn(self) -> None:
         self.turn.clear()
-        silent_ms = self.clock.now_ms() - self.read_ms
+        silent_ms = self.clock.now_ms() - self.last_read_ms
         left_ms = max(1, self._silence_ms() - silent_ms)
         try:
             async with asyncio.timeout(left_ms / _MS_PER_S):
@@ -222,26 +225,26 @@
     def _has_to_read(self) -> bool:
         if self.is_reader():
             return True
-        silent_ms = self.clock.now_ms() - self.read_ms
+        silent_ms = self.clock.now_ms() - self.last_read_ms
         return silent_ms >= self._silence_ms()
 
     def _silence_ms(self) -> int:
-        ahead = self.order.ahead(self.clock.now_ms())
+        ahead = self.order.neighbours_ahead(self.clock.now_ms())
         steps = min(max(0, ahead - 1), _MOST_SILENCE_STEPS)
-        return SILENCE_MS + steps * SILENCE_STEP_MS
+        return MAX_READ_AGE_MS + steps * RANK_DELAY_MS
 
     def _note_progress(self) -> None:
         # Without a heartbeat, neighbours would take a long answer for silence.
         now_ms = self.clock.now_ms()
-        self.read_ms = now_ms
+        self.last_read_ms = now_ms
         if now_ms - self.told_ms >= HEARTBEAT_MS:
             self._tell(ReadingRole.READER, 0)
 
-    def _may_rest(self) -> bool:
+    def _may_back_off(self) -> bool:
         now_ms = self.clock.now_ms()
-        if not self.store.ready or now_ms >= self.rests_until_ms:
+        if not self.store.ready or now_ms >= self.backoff_until_ms:
             return False
-        return now_ms - self.heard_ms <= SILENCE_MS
+        return now_ms - self.heard_ms <= MAX_READ_AGE_MS
 
     def is_reader(self) -> bool:
         """Tells whether this node reads the source for the others."""
@@ -254,7 +257,7 @@
             document = await self._next_document()
         finally:
             self.reading = False
-        self.read_ms = self.clock.now_ms()
+        self.last_read_ms = self.clock.now_ms()
         if document is None:
             # Nothing was published yet, or nothing new.
             self.position = self.position or 0
@@ -263,8 +266,8 @@
         before = self.store.version
         if not document.data or not self.store.offer(document.data, "source"):
             return False
-        relays = self.order.far_relays(self.clock.now_ms())
-        self.telling.news(self._read_age_ms(), before, relays)
+        relays = self.order.remote_relays(self.clock.now_ms())
+        self.publisher.publish_version(self._read_age_ms(), before, relays)
         return True
 
     async def _next_document(self) -> Document | None:
@@ -286,25 +289,27 @@
 
     def _read_age_ms(self) -> int:
         # A read that is under way ends in time, or says that it has failed.
-        return 0 if self.reading else self.clock.now_ms() - self.read_ms
+        return 0 if self.reading else self.clock.now_ms() - self.last_read_ms
 
     def _tell(self, role: ReadingRole, read_age_ms: int) -> None:
         now_ms = self.told_ms = self.clock.now_ms()
-        to = self.telling.near()
+        to = self.publisher.local_members()
         if role is ReadingRole.READER:
-            to += self.order.far_relays(now_ms)
-        self.telling.send(to, self.telling.digest(read_age_ms, heartbeat=True))
+            to += self.order.remote_relays(now_ms)
+        self.publisher.send(
+            to, self.publisher.digest(read_age_ms, heartbeat=True)
+        )
 
     def _tell_unread(self) -> None:
-        self._tell(ReadingRole.READER, UNREAD)
+        self._tell(ReadingRole.READER, NO_READ_AGE_MS)
 
     # Hearing from peers.
 
     def receive(self, frame: WireMessage) -> None:
         """Takes a frame about the configuration."""
-        take_frame(frame, self)
+        handle_frame(frame, self)
 
-    def take_document(self, frame: DocumentPush) -> None:
+    def handle_document(self, frame: DocumentPush) -> None:
         """Takes a document that a peer sent."""
         if frame.version <= self.store.version and self.store.ready:
             return
@@ -323,10 +328,10 @@
             )
             return
         if self.store.offer(data, frame.address):
-            digest = self.telling.digest(self._read_age_ms(), heartbeat=False)
-            self.telling.send(self.telling.near(), digest)
+            digest = self.publisher.digest(self._read_age_ms(), heartbeat=False)
+            self.publisher.send(self.publisher.local_members(), digest)
 
-    def take_digest(self, frame: VersionDigest) -> None:
+    def handle_digest(self, frame: VersionDigest) -> None:
         """Takes a peer's version."""
         if frame.heartbeat:
             self._take_heartbeat(frame)
@@ -334,41 +339,42 @@
             return
         if self._is_far(frame.address):
             self.far_news = max(self.far_news, (frame.version, frame.address))
-            self._look_for_newer()
+            self._check_for_newer()
         else:
             self._ask(frame.address, frame.version)
 
     def _take_heartbeat(self, frame: VersionDigest) -> None:
         now_ms = self.clock.now_ms()
-        if frame.log_age_ms == UNREAD:
+        if frame.log_age_ms == NO_READ_AGE_MS:
             self.order.note_unable(frame.address, now_ms)
             self.turn.set()
             return
         self.order.note_able(frame.address)
         self.heard_ms = max(self.heard_ms, now_ms - frame.log_age_ms)
-        self.read_ms = max(self.read_ms, now_ms - frame.log_age_ms)
+        self.last_read_ms = max(self.last_read_ms, now_ms - frame.log_age_ms)
         is_due = now_ms - self.told_ms >= HEARTBEAT_MS
         if is_due and self.order.role(now_ms) is ReadingRole.RELAY:
             self._tell(ReadingRole.RELAY, self._read_age_ms())
 
     def _is_far(self, address: str) -> bool:
         return any(
-            entry.peer_address == address for entry in self.telling.far()
+            entry.peer_address == address
+            for entry in self.publisher.remote_members()
         )
 
-    def take_pull(self, frame: RecordsPull) -> None:
+    def handle_pull(self, frame: RecordsPull) -> None:
         """Sends the document to a peer that lacks it."""
         if frame.from_offset < self.store.version:
             self.pushes_sent += 1
-            document = self.telling.document(frame.from_offset)
-            self.telling.post(frame.address, document)
+            document = self.publisher.document_push(frame.from_offset)
+            self.publisher.post(frame.address, document)
 
     def _ask(self, address: str, version: int) -> None:
         if version <= self.asked_version:
             return
         self.asked_version = version
         self.pulls_sent += 1
-        self.telling.post(
+        self.publisher.post(
             address,
             RecordsPull(
                 from_offset=self.store.version,
@@ -376,21 +382,23 @@
             ),
         )
 
-    def _look_for_newer(self) -> None:
+    def _check_for_newer(self) -> None:
         # Gossip tells every member's version. A digest or an answer that was
         # lost would else leave this node behind until the next change.
         version = self.store.version
-        newer = [e for e in self.telling.well() if e.version > version]
+        newer = [
+            e for e in self.publisher.healthy_members() if e.version > version
+        ]
         if not newer and self.far_news[0] <= version:
             self.behind_since_ms = None
             return
-        near = _newest(e for e in newer if self.telling.is_near(e))
-        far = _newest(e for e in newer if not self.telling.is_near(e))
+        near = _newest(e for e in newer if self.publisher.is_local(e))
+        far = _newest(e for e in newer if not self.publisher.is_local(e))
         is_near = near[0] > version
         now_ms = self.clock.now_ms()
         if self.behind_since_ms is None:
             self.behind_since_ms = now_ms
-        pause_ms = ASK_AFTER_MS if is_near else self._far_pause_ms()
+        pause_ms = PULL_DELAY_MS if is_near else self._far_pause_ms()
         left_ms = self.behind_since_ms + pause_ms - now_ms
         if left_ms > 0:
             self._look_again(left_ms)
@@ -401,14 +409,16 @@
         if self.look_timer is not None:
             self.look_timer.cancel()
         self.look_timer = asyncio.get_running_loop().call_later(
-            after_ms / _MS_PER_S, self._look_for_newer
+            after_ms / _MS_PER_S, self._check_for_newer
         )
 
     def _far_pause_ms(self) -> int:
         now_ms = self.clock.now_ms()
         # A node that reads will have it from the source any moment.
-        pauses = self.order.ahead(now_ms) + self.order.is_read_here(now_ms)
-        return ASK_FAR_AFTER_MS * min(pauses, _MOST_FAR_PAUSES)
+        pauses = self.order.neighbours_ahead(
+            now_ms
+        ) + self.order.has_local_reader(now_ms)
+        return REMOTE_PULL_DELAY_MS * min(pauses, _MOST_FAR_PAUSES)
 
     def _ask_again(self, newest: tuple[int, str]) -> None:
         version, address = newest
@@ -425,20 +435,20 @@
 
 
 @functools.singledispatch
-def take_frame(frame: WireMessage, feed: PublishedFeed) -> None:
+def handle_frame(frame: WireMessage, feed: PublishedFeed) -> None:
     """Hands a frame to the feed; others are ignored."""
 
 
-@take_frame.register
+@handle_frame.register
 def _(frame: DocumentPush, feed: PublishedFeed) -> None:
-    feed.take_document(frame)
+    feed.handle_document(frame)
 
 
-@take_frame.register
+@handle_frame.register
 def _(frame: VersionDigest, feed: PublishedFeed) -> None:
-    feed.take_digest(frame)
+    feed.handle_digest(frame)
 
 
-@take_frame.register
+@handle_frame.register
 def _(frame: RecordsPull, feed: PublishedFeed) -> None:
-    feed.take_pull(frame)
+    feed.handle_pull(frame)
--- a/packages/pomelobank-node/src/pomelobank_node/published/_telling.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_peer_publisher.py
@@ -27,11 +27,11 @@
 # is packed to a fifth; four of them are there within a second.
 NEAR_PUSHED = 4
 # Age of the newest read in the digest of a node that cannot read.
-UNREAD = -1
+NO_READ_AGE_MS = -1
 
 
 @attrs.define(eq=False)
-class Telling:
+class PeerPublisher:
     """Sends documents and digests to peers.
 
     Attributes:
@@ -58,46 +58,51 @@
             task.cancel()
         await asyncio.gather(*sends, return_exceptions=True)
 
-    def near(self) -> list[MemberEntry]:
+    def local_members(self) -> list[MemberEntry]:
         """Returns the members of the own data centre."""
-        return [item for item in self.well() if self.is_near(item)]
+        return [item for item in self.healthy_members() if self.is_local(item)]
 
-    def far(self) -> list[MemberEntry]:
+    def remote_members(self) -> list[MemberEntry]:
         """Returns the members of other data centres."""
-        return [item for item in self.well() if not self.is_near(item)]
+        return [
+            item for item in self.healthy_members() if not self.is_local(item)
+        ]
 
-    def is_near(self, entry: MemberEntry) -> bool:
+    def is_local(self, entry: MemberEntry) -> bool:
         """Tells whether a member is in the own data centre."""
         return entry.data_centre == self.members.own.data_centre
 
-    def well(self) -> list[MemberEntry]:
+    def healthy_members(self) -> list[MemberEntry]:
         """Returns the members that are not in doubt."""
         suspect = MemberState.SUSPECT.value
         return [
             item for item in self.members.present() if item.state != suspect
         ]
 
-    def news(
-        self, read_age_ms: int, before: int, relays: Iterable[MemberEntry]
+    def publish_version(
+        self,
+        read_age_ms: int,
+        previous_version: int,
+        relays: Iterable[MemberEntry],
     ) -> None:
         """Tells of a version that was just read from the source.
 
         Args:
             read_age_ms: Age of the newest read.
-            before: The version that was in force until then; most neighbours
-                have it too.
+            previous_version: The version that was in force until then; most
+                neighbours have it too.
             relays: The members that inform the other data centres.
         """
         told = {entry.node: entry for entry in (*relays, *self._some_far())}
         digest = self.digest(read_age_ms, heartbeat=False)
         self.send(told.values(), digest)
-        near = self.near()
+        near = self.local_members()
         pushed = self.seeded.sample(near, min(NEAR_PUSHED, len(near)))
-        self.send(pushed, self.document(before))
+        self.send(pushed, self.document_push(previous_version))
 
     def _some_far(self) -> list[MemberEntry]:
         # A relay may have just died, so one more of each data centre is told.
-        far = self.far()
+        far = self.remote_members()
         self.seeded.shuffle(far)
         return list({entry.data_centre: entry for entry in far}.values())
 
@@ -112,7 +117,7 @@
             ready=self.store.ready,
         )
 
-    def document(self, base_version: int) -> DocumentPush:
+    def document_push(self, base_version: int) -> DocumentPush:
         """Returns the document in force.
 
         Args:
@@ -132,7 +137,7 @@
     def _pack(self, base_version: int) -> DocumentPush:
         base = self.store.document(base_version)
         if base_version and not base:
-            return self.document(0)
+            return self.document_push(0)
         return DocumentPush(
             data=pack(self.store.data, base),
             version=self.store.version,
--- a/packages/pomelobank-node/src/pomelobank_node/published/_store.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_store.py
@@ -54,7 +54,7 @@
         data: Its document, for peers.
         history: Earlier documents.
         ready: Whether there is one.
-        moved: Replaced and set whenever a newer one comes into force.
+        changed: Replaced and set whenever a newer one comes into force.
         applied: Configurations that came into force, for the metrics.
         unreadable: Documents that were passed over, for the metrics.
         bad: Digest of the last document that was passed over.
@@ -65,7 +65,7 @@
     data: bytes = b""
     history: DocumentHistory = attrs.field(factory=DocumentHistory)
     ready: bool = False
-    moved: asyncio.Event = attrs.field(factory=asyncio.Event)
+    changed: asyncio.Event = attrs.field(factory=asyncio.Event)
     applied: int = 0
     unreadable: int = 0
     bad: int = 0
@@ -121,7 +121,7 @@
                 "bytes": len(data),
             },
         )
-        moved, self.moved = self.moved, asyncio.Event()
+        moved, self.changed = self.changed, asyncio.Event()
         moved.set()
         return True
 
--- a/packages/pomelobank-node/src/pomelobank_node/published/tests/test_hand_over.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/tests/test_hand_over.py
@@ -11,7 +11,7 @@
 import attrs
 import pytest
 
-from pomelobank_core import READERS, MemberTable
+from pomelobank_core import READER_COUNT, MemberTable
 from pomelobank_node.published import (
     Document,
     PublishedFeed,
@@ -21,7 +21,7 @@
 from pomelobank_node.published._feed import (
     HEARTBEAT_MS,
     LONG_POLL_MS,
-    SILENCE_MS,
+    MAX_READ_AGE_MS,
 )
 from pomelobank_node.published.tests.test_published import decode, member
 from pomelobank_node.tests.virtual_time import (
@@ -166,7 +166,7 @@
     """Each node does what is due about twice a second, as membership asks."""
     while True:
         for feed in world.feeds.values():
-            feed.tend(feed.clock.now_ms())
+            feed.tick(feed.clock.now_ms())
             await asyncio.sleep(world.seeded.uniform(0, 1 / len(world.feeds)))
 
 
@@ -250,9 +250,9 @@
     time = VirtualTime()
     world = World(random.Random(1), time, nodes)
     run_virtually(time, play(world, troubled=False))
-    for_changes = READERS * world.version
-    at_rest = READERS * time.now_s * 1000 / LONG_POLL_MS
-    assert world.calls <= READERS + for_changes + at_rest
+    for_changes = READER_COUNT * world.version
+    at_rest = READER_COUNT * time.now_s * 1000 / LONG_POLL_MS
+    assert world.calls <= READER_COUNT + for_changes + at_rest
 
 
 async def publish_while_silent(world: World, killed: set[str]) -> None:
@@ -263,7 +263,7 @@
         for feed in readers:
             await feed.stop()
             del world.feeds[feed.members.own.peer_address]
-        await asyncio.sleep((SILENCE_MS + HEARTBEAT_MS) / 1000)
+        await asyncio.sleep((MAX_READ_AGE_MS + HEARTBEAT_MS) / 1000)
         world.publish()
         await asyncio.sleep(IN_FORCE_S)
         late = [
@@ -280,4 +280,4 @@
     killed: set[str] = set()
     world = World(random.Random(1), time, MANY)
     run_virtually(time, publish_while_silent(world, killed))
-    assert len(killed) == READERS
+    assert len(killed) == READER_COUNT
--- a/packages/pomelobank-node/src/pomelobank_node/published/tests/test_published.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/tests/test_published.py
@@ -16,9 +16,9 @@
     SourceError,
 )
 from pomelobank_node.published._feed import (
-    ASK_AFTER_MS,
-    ASK_FAR_AFTER_MS,
-    SILENCE_STEP_MS,
+    PULL_DELAY_MS,
+    RANK_DELAY_MS,
+    REMOTE_PULL_DELAY_MS,
 )
 from pomelobank_node.published._packing import PackingError, pack, unpack
 from pomelobank_schema import SchemaError, SchemaErrorKind, WireMessage
@@ -211,9 +211,9 @@
     item = feed(Source(), member("far", "burnie", version=8))
     clock = item.clock
     assert isinstance(clock, ManualClock)
-    item._look_for_newer()
+    item._check_for_newer()
     clock.advance(500)
-    item._look_for_newer()
+    item._check_for_newer()
     await asyncio.sleep(0)
     pulls = [f for _, f in sent(item) if isinstance(f, RecordsPull)]
     assert len(pulls) == 1
@@ -230,9 +230,9 @@
         item.receive(VersionDigest(version=3, address=far.peer_address))
         clock = item.clock
         assert isinstance(clock, ManualClock)
-        item._look_for_newer()
-        clock.advance(ASK_FAR_AFTER_MS)
-        item._look_for_newer()
+        item._check_for_newer()
+        clock.advance(REMOTE_PULL_DELAY_MS)
+        item._check_for_newer()
         await asyncio.sleep(0)
         asked += [f for _, f in sent(item) if isinstance(f, RecordsPull)]
     assert len(asked) == 1
@@ -244,9 +244,9 @@
     item = feed(Source(), far, near)
     clock = item.clock
     assert isinstance(clock, ManualClock)
-    item._look_for_newer()
-    clock.advance(ASK_AFTER_MS)
-    item._look_for_newer()
+    item._check_for_newer()
+    clock.advance(PULL_DELAY_MS)
+    item._check_for_newer()
     await asyncio.sleep(0)
     assert [a for a, f in sent(item) if isinstance(f, RecordsPull)] == [
         near.peer_address
@@ -298,7 +298,7 @@
     near = [member(f"n{number}", "hobart") for number in range(neighbours)]
     item = feed(Source(), *near)
     item.store.offer(b"7", "test")
-    item.telling.news(read_age_ms=0, before=0, relays=[])
+    item.publisher.publish_version(read_age_ms=0, previous_version=0, relays=[])
     await asyncio.sleep(0)
     documents = [f for _, f in sent(item) if isinstance(f, DocumentPush)]
     assert len(documents) == pushed
@@ -321,14 +321,14 @@
     clock = item.clock
     assert isinstance(clock, ManualClock)
     clock.advance(20_000)
-    item.rests_until_ms = clock.now_ms() + 5000
-    assert not item._may_rest()
+    item.backoff_until_ms = clock.now_ms() + 5000
+    assert not item._may_back_off()
     item.receive(
         VersionDigest(
             address=near.peer_address, heartbeat=True, log_age_ms=told_ms
         )
     )
-    assert item._may_rest() is rests
+    assert item._may_back_off() is rests
 
 
 LINES = [f"{number} leads to {number * 7919 % 997}" for number in range(5000)]
@@ -365,7 +365,7 @@
     reader.store.decode = first_line
     reader.store.offer(document(1), "test")
     reader.store.offer(document(2), "test")
-    push = reader.telling.document(base_version=1)
+    push = reader.publisher.document_push(base_version=1)
     assert len(push.data) < most_bytes
     item = feed(Source())
     item.store.decode = first_line
@@ -384,7 +384,7 @@
     item = feed(Source())
     item.store.decode = first_line
     item.store.offer(document(1), "test")
-    item.receive(reader.telling.document(base_version=8))
+    item.receive(reader.publisher.document_push(base_version=8))
     await asyncio.sleep(0)
     (pull,) = [f for _, f in sent(item) if isinstance(f, RecordsPull)]
     reader.receive(pull)
@@ -445,7 +445,7 @@
         item.position = 4
         clock = item.clock
         assert isinstance(clock, ManualClock)
-        item.read_ms = clock.now_ms()
+        item.last_read_ms = clock.now_ms()
         waited_ms = 0
         while not item._has_to_read():
             clock.advance(50)
@@ -453,4 +453,4 @@
         reading_ms.append(waited_ms)
     reading_ms.sort()
     assert reading_ms[0] == 0
-    assert reading_ms[2] - reading_ms[1] >= SILENCE_STEP_MS
+    assert reading_ms[2] - reading_ms[1] >= RANK_DELAY_MS
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_config_outbox.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_config_outbox.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pomelobank_core import ErrorKind, PullRecords, PushRecords, SendDigest
-from pomelobank_node._config_outbox import Action, Outbox
+from pomelobank_node._config_outbox import DistributionAction, Outbox
 from pomelobank_node._requests import RequestError
 from pomelobank_schema import SchemaError, SchemaErrorKind
 
@@ -16,10 +16,10 @@
     Without merging, each change would queue its frames and the node would run
     out of memory together with its slowest peer.
     """
-    sent: list[Action] = []
+    sent: list[DistributionAction] = []
     gate = asyncio.Event()
 
-    async def send(_: str, action: Action) -> None:
+    async def send(_: str, action: DistributionAction) -> None:
         await gate.wait()
         sent.append(action)
 
@@ -30,7 +30,7 @@
         outbox.put(PushRecords("p:1", version))
         outbox.put(SendDigest("p:1", heartbeat=False))
         outbox.put(PullRecords("p:1", version, 0))
-    assert len(outbox.waiting) == 3
+    assert len(outbox.pending) == 3
     gate.set()
     assert outbox.task is not None
     await outbox.task
@@ -51,7 +51,7 @@
     ],
 )
 async def test_an_unreachable_peer_ends_nothing(error: Exception) -> None:
-    async def send(_: str, __: Action) -> None:
+    async def send(_: str, __: DistributionAction) -> None:
         raise error
 
     outbox = Outbox("p:1", send)
@@ -59,4 +59,4 @@
     outbox.put(PushRecords("p:1", 0))
     assert outbox.task is not None
     await outbox.task
-    assert (outbox.failures, outbox.waiting) == (2, {})
+    assert (outbox.failures, outbox.pending) == (2, {})
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_config_store.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_config_store.py
@@ -66,7 +66,7 @@
     """
     store = store_with(data, encode(change("a")))
     assert store.version == 2
-    assert list(store.state.verdicts) == ["a"]
+    assert list(store.state.decisions) == ["a"]
 
 
 def test_a_record_of_a_newer_program_stops_the_replay() -> None:
@@ -109,10 +109,10 @@
 
 def test_a_snapshot_is_made_once_a_version() -> None:
     store = store_with(encode(change("a")))
-    first = store.whole("n", 1)
-    assert store.whole("n", 2) is first
+    first = store.encoded_snapshot("n", 1)
+    assert store.encoded_snapshot("n", 2) is first
     store.apply(1, encode(change("b")))
-    assert store.whole("n", 3) != first
+    assert store.encoded_snapshot("n", 3) != first
 
 
 def test_recent_records_are_bounded() -> None:
@@ -125,7 +125,7 @@
     recent.add(recent.first_offset + MAX_RECENT_RECORDS, b"y" * 2**22)
     assert recent.size_bytes <= MAX_RECENT_BYTES
     recent.add(5000, b"z")
-    assert (recent.first_offset, recent.items) == (5000, [b"z"])
+    assert (recent.first_offset, recent.records) == (5000, [b"z"])
 
 
 def test_digest_tells_another_change_with_the_same_id() -> None:
@@ -134,4 +134,4 @@
     other = attrs.evolve(first, operations=change("b").operations)
     assert operations_digest(first) == operations_digest(again)
     assert operations_digest(first) != operations_digest(other)
-    assert ConfigState().verdicts == {}
+    assert ConfigState().decisions == {}
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_contact_finder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_contact_finder.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from pomelobank_core import FirstContact, MemberTable, Swim
+from pomelobank_core import BootstrapContacts, MemberTable, Swim
 from pomelobank_node._contact_finder import ContactFinder
 from pomelobank_node._log import LogPage
 from pomelobank_node.tests.virtual_time import (
@@ -79,7 +79,7 @@
     swim = Swim(MemberTable(own), MembershipSettings(), random.Random(1))
     links = Links()
     found = ContactFinder(
-        FirstContact(random.Random(1)),
+        BootstrapContacts(random.Random(1)),
         swim,
         log,
         links,  # type: ignore[arg-type]
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_departure_log.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_departure_log.py
@@ -47,7 +47,7 @@
     log = ScriptedLog()
     departures = DepartureLog(log, first_start)
     await departures.start()
-    await departures.opened.wait()
+    await departures.ready.wait()
     await departures.stop()
     target = TargetAnnouncement(
         upstream="stock",
@@ -56,4 +56,4 @@
         instance=LEFT.instance,
         started_at_ms=LEFT.started_at_ms,
     )
-    assert (log.reads, departures.cover(target)) == (reads, known)
+    assert (log.reads, departures.has_departed(target)) == (reads, known)
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_log_output.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_log_output.py
@@ -2,8 +2,8 @@
 
 import os
 
-from pomelobank_node._log_budget import FAILURES_PER_S, LogBudget
-from pomelobank_node._log_output import MAX_WAITING, BoundedOutput
+from pomelobank_node._log_output import MAX_BUFFERED_CHUNKS, BoundedOutput
+from pomelobank_node._log_rate_limiter import MAX_FAILURES_PER_S, LogRateLimiter
 
 
 def test_a_reader_that_stands_still_does_not_hold_the_node_up() -> None:
@@ -14,10 +14,10 @@
     read_end, write_end = os.pipe()
     output = BoundedOutput(write_end)
     line = "x" * 1000 + "\n"
-    for _ in range(MAX_WAITING + 200):
+    for _ in range(MAX_BUFFERED_CHUNKS + 200):
         output.write(line)
     assert output.dropped > 0
-    assert len(output.waiting) <= MAX_WAITING
+    assert len(output.buffered) <= MAX_BUFFERED_CHUNKS
     os.close(read_end)
     os.close(write_end)
 
@@ -28,9 +28,9 @@
     lines = [f"{number}".rjust(999) + "\n" for number in range(200)]
     for line in lines:
         output.write(line)
-    assert output.waiting
+    assert output.buffered
     got = b""
-    while output.waiting:
+    while output.buffered:
         got += os.read(read_end, 65536)
         output.flush()
     os.close(write_end)
@@ -46,7 +46,7 @@
     output = BoundedOutput(write_end)
     output.write("lost\n")
     os.close(write_end)
-    assert (output.dropped, len(output.waiting)) == (1, 0)
+    assert (output.dropped, len(output.buffered)) == (1, 0)
 
 
 def test_failures_without_a_line_are_counted_in_the_next_one() -> None:
@@ -54,9 +54,9 @@
 
     A line for each would take the core that the others need.
     """
-    budget = LogBudget()
-    told = sum(budget.may_tell_failure(500) for _ in range(1000))
-    assert told == FAILURES_PER_S
-    assert budget.may_tell_failure(1500)
-    assert budget.take_dropped() == 1000 - FAILURES_PER_S
-    assert budget.take_dropped() == 0
+    budget = LogRateLimiter()
+    told = sum(budget.allow_failure(500) for _ in range(1000))
+    assert told == MAX_FAILURES_PER_S
+    assert budget.allow_failure(1500)
+    assert budget.pop_dropped() == 1000 - MAX_FAILURES_PER_S
+    assert budget.pop_dropped() == 0
--- a/packages/pomelobank-testing/src/pomelobank_testing/_config_model.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_config_model.py
@@ -2,8 +2,9 @@
 
 The model's steps call core's own functions, so that what is proved is proved
 of the code: `advance`, `adopt_snapshot`, `usable_snapshot`, `snapshot_record`
-and `VersionFloor`. What stands around them is small: a log that may lose its
-answers and trims old records, and messages that arrive late, crossed or twice.
+and `MinServingVersion`. What stands around them is small: a log that may lose
+its answers and trims old records, and messages that arrive late, crossed or
+twice.
 
 A change may take effect at any time and more often than it was answered, and
 a snapshot stays in its writer's hands until it lands or for good. So a node
@@ -21,7 +22,7 @@
 
 from pomelobank_core import (
     ConfigState,
-    VersionFloor,
+    MinServingVersion,
     adopt_snapshot,
     advance,
     check_objects,
@@ -56,7 +57,7 @@
     )
     adopt: Callable[[ConfigState, SnapshotRecord], object] = adopt_snapshot
     snapshot: Callable[[ConfigState], SnapshotRecord] = snapshot_record
-    ready: Callable[[VersionFloor, int], bool] = lambda floor, version: (
+    ready: Callable[[MinServingVersion, int], bool] = lambda floor, version: (
         floor.update(version, 0)
     )
     told: bool = True
@@ -100,7 +101,7 @@
         )
         verdicts = tuple(
             (item.change_id, item.version, item.accepted)
-            for item in value.verdicts.values()
+            for item in value.decisions.values()
         )
         key = (value.snapshot.version, objects, verdicts)
         return _STATES.setdefault(key, cls(key, value))
@@ -376,9 +377,9 @@
     ) -> World:
         older = state.version < node.state.version
         heard = max(node.heard, state.version)
-        floor = VersionFloor(
+        floor = MinServingVersion(
             settle_ms=0,
-            heard_version=heard,
+            known_version=heard,
             reached_log_end=node.read_end,
             first_ready_ms=0 if node.met_ready else None,
             ready=node.ready,
--- a/packages/pomelobank-testing/src/pomelobank_testing/_core_config.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_core_config.py
@@ -16,8 +16,8 @@
 from pomelobank_core import (
     ConfigState,
     Distribution,
+    MinServingVersion,
     RouteTable,
-    VersionFloor,
     find_neighbours,
     replay_change,
     restore_snapshot,
@@ -170,7 +170,7 @@
     settings = DistributionSettings()
     tracemalloc.start()
     machine = Distribution(settings, 5000, random.Random(1))
-    floor = VersionFloor(3000)
+    floor = MinServingVersion(3000)
     machine.update_members(own, others)
     gc.collect()
     held, _ = tracemalloc.get_traced_memory()
@@ -178,8 +178,8 @@
     digest = VersionDigest(version=5, address=own.peer_address, heartbeat=True)
 
     def hear(now_ms: int) -> None:
-        machine.hear(digest, 5, now_ms)
-        floor.hear_peer(5, True, now_ms)
+        machine.on_digest(digest, 5, now_ms)
+        floor.on_peer_version(5, True, now_ms)
 
     views = [
         find_neighbours(item, [*others, own], settings)
@@ -194,7 +194,9 @@
         "hear_digest_us": _median_us(hear, rounds),
         "next_read_us": _median_us(machine.next_read, rounds),
         "digest_bytes": len(encode(digest)),
-        "most_peers": max(len(view.push_to) + len(view.tell) for view in views),
+        "most_peers": max(
+            len(view.push_to) + len(view.notify) for view in views
+        ),
     }
 
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/_member_fleet.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_member_fleet.py
@@ -6,8 +6,14 @@
 
 import attrs
 
-from pomelobank_core import Action, MemberState, MemberTable, Send, Swim
-from pomelobank_core import take_frame as take_member_frame
+from pomelobank_core import (
+    MemberState,
+    MemberTable,
+    SendFrame,
+    Swim,
+    SwimAction,
+)
+from pomelobank_core import handle_frame as take_member_frame
 from pomelobank_schema import decode
 from pomelobank_schema.generated import peer
 from pomelobank_schema.generated.peer import MemberEntry
@@ -100,16 +106,20 @@
 
     def join(self, address: str, contact: str) -> None:
         """Lets a member compare its table with another."""
-        self.act(address, address, [self.members[address].compare(contact)])
+        self.act(
+            address, address, [self.members[address].sync_request(contact)]
+        )
 
     def remove(self, address: str) -> None:
         """Ends a member without a word."""
         del self.members[address]
 
-    def act(self, address: str, reply_to: str, actions: list[Action]) -> None:
+    def act(
+        self, address: str, reply_to: str, actions: list[SwimAction]
+    ) -> None:
         """Sends what a machine asks for."""
         for action in actions:
-            to = action.address if isinstance(action, Send) else reply_to
+            to = action.address if isinstance(action, SendFrame) else reply_to
             data = encode_frame(action.frame)
             self._count(address, to, len(data))
             self.queue.append(Envelope(address, to, data))
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_config_model.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_config_model.py
@@ -14,8 +14,8 @@
 
 from pomelobank_core import (
     ConfigState,
+    MinServingVersion,
     Problem,
-    VersionFloor,
     advance,
     restore_snapshot,
     snapshot_record,
@@ -91,10 +91,10 @@
         return advance(state, offset, record)
     others = {
         change_id: verdict
-        for change_id, verdict in state.verdicts.items()
+        for change_id, verdict in state.decisions.items()
         if change_id != record.change_id
     }
-    fresh = attrs.evolve(state, verdicts=MappingProxyType(others))
+    fresh = attrs.evolve(state, decisions=MappingProxyType(others))
     return advance(fresh, offset, record)
 
 
@@ -108,12 +108,12 @@
     return restore_snapshot(record)
 
 
-def serve_at_once(_: VersionFloor, __: int) -> bool:
+def serve_at_once(_: MinServingVersion, __: int) -> bool:
     return True
 
 
-def trust_new_peers(floor: VersionFloor, version: int) -> bool:
-    if floor.heard_version:
+def trust_new_peers(floor: MinServingVersion, version: int) -> bool:
+    if floor.known_version:
         floor.first_ready_ms = 0
     return floor.update(version, 0)
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_fleet.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_fleet.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pomelobank_core import MemberState, Send, Swim
+from pomelobank_core import MemberState, SendFrame, Swim
 from pomelobank_schema.generated.peer import Gossip
 from pomelobank_schema.generated.settings import MembershipSettings
 from pomelobank_testing._member_fleet import MemberFleet
@@ -225,7 +225,7 @@
     fleet.remove(dead.peer_address)
     table = fleet.members[address(0)].table
     fleet.run_until(lambda: dead.node not in table.others, 3 * MINUTE_MS)
-    fleet.members[address(0)].learn(Gossip(members=(dead,)), fleet.now_ms)
+    fleet.members[address(0)].on_gossip(Gossip(members=(dead,)), fleet.now_ms)
     assert dead.node not in table.others
     assert table.stale_entries >= 1
 
@@ -249,10 +249,10 @@
 def test_a_refused_stream_asks_others_without_waiting() -> None:
     fleet = MemberFleet.of(5)
     swim: Swim = fleet.members[address(0)]
-    probes = [item for item in swim.tick(0) if isinstance(item, Send)]
-    helpers = swim.unreachable(probes[0].address)
+    probes = [item for item in swim.tick(0) if isinstance(item, SendFrame)]
+    helpers = swim.on_unreachable(probes[0].address)
     assert len(helpers) == 3
-    assert not swim.unreachable(probes[0].address)
+    assert not swim.on_unreachable(probes[0].address)
 
 
 def test_own_pause_is_not_taken_for_the_death_of_others() -> None:
