--- a/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
@@ -25,12 +25,12 @@
     WorkResult,
     target_result,
 )
-from pomelobank_core.tests.load_support import POLICIES, Call, Events
+from pomelobank_core.tests.load_support import POLICIES, Call, EventQueue
 from pomelobank_schema.generated.peer import MemberEntry
 
 HOP_MS = 1.0
 UPSTREAM = "stock"
-CLASS = TrafficClass.INTERACTIVE.value
+TRAFFIC_CLASS = TrafficClass.INTERACTIVE.value
 
 
 def member(name: str, data_centre: str = "hobart", slots: int = 10, **changes):
@@ -93,7 +93,7 @@
         retrying: bool = True,
         aim_ms: float = 0.0,
     ) -> None:
-        self.events = Events()
+        self.events = EventQueue()
         self.calls: list[Call] = []
         self.runs: dict[int, int] = {}
         self.retrying = retrying
@@ -134,7 +134,9 @@
             )
             (entry,) = seeded.choices(self.entries, weights)
             self.calls.append(call)
-            self.events.at(at_ms, lambda c=call, e=entry: self._first(c, e))
+            self.events.schedule(
+                at_ms, lambda c=call, e=entry: self._first(c, e)
+            )
 
     def merge(self, *entries: MemberEntry) -> None:
         for entry in self.entries:
@@ -164,12 +166,14 @@
         now_ms = self.events.now_ms
         candidates = entry.index.of(UPSTREAM)
         away_ms = entry.load_balancer.all_full_retry_after_ms(
-            candidates, CLASS, now_ms
+            candidates, TRAFFIC_CLASS, now_ms
         )
         if away_ms and not tried:
             self._end(call, ErrorKind.OVERLOADED.value)
             return
-        chosen = entry.load_balancer.pick(candidates, tried, CLASS, now_ms)
+        chosen = entry.load_balancer.pick(
+            candidates, tried, TRAFFIC_CLASS, now_ms
+        )
         if chosen is None:
             self._end(call, ErrorKind.NO_TARGET.value)
             return
@@ -179,7 +183,7 @@
         target = self.targets[chosen.node]
         visit = Visit(call, entry, target, tried, now_ms)
         target.present.append(visit)
-        self.events.at(now_ms + HOP_MS, lambda: self._arrive(visit))
+        self.events.schedule(now_ms + HOP_MS, lambda: self._arrive(visit))
 
     def _arrive(self, visit: Visit) -> None:
         if visit.over:
@@ -200,7 +204,7 @@
             self._run(visit)
         else:
             visit.target.waiting[visit.ticket] = visit
-            self.events.at(
+            self.events.schedule(
                 visit.ticket.deadline_ms, lambda: self._look(visit.target)
             )
 
@@ -214,7 +218,7 @@
         self.runs[key] = self.runs.get(key, 0) + 1
         work_ms = visit.call.work_ms * visit.target.slow_factor
         end_ms = self.events.now_ms + work_ms
-        self.events.at(end_ms, lambda: self._ran(visit))
+        self.events.schedule(end_ms, lambda: self._ran(visit))
 
     def _ran(self, visit: Visit) -> None:
         if visit.over:
@@ -237,7 +241,7 @@
     def _leave(self, visit: Visit, error: ErrorKind | None) -> None:
         visit.over = True
         visit.target.present.remove(visit)
-        self.events.at(
+        self.events.schedule(
             self.events.now_ms + HOP_MS, lambda: self._back(visit, error)
         )
 
@@ -249,7 +253,7 @@
         admission = visit.target.admission
         seen = RequestOutcome(
             result,
-            CLASS,
+            TRAFFIC_CLASS,
             now_ms - visit.sent_ms,
             admission.in_flight + admission.waiting,
             visit.retry_after_ms,
@@ -269,7 +273,7 @@
         now_ms = self.events.now_ms
         entry = visit.entry
         other = entry.load_balancer.pick(
-            entry.index.of(UPSTREAM), visit.tried, CLASS, now_ms
+            entry.index.of(UPSTREAM), visit.tried, TRAFFIC_CLASS, now_ms
         )
         attempt = FailedAttempt(
             error=error,
@@ -278,13 +282,13 @@
             transparent_retries=0,
             remaining_ms=visit.call.at_ms + visit.call.timeout_ms - now_ms,
             other_has_capacity=other is not None
-            and entry.load_balancer.has_capacity(other, CLASS, now_ms),
+            and entry.load_balancer.has_capacity(other, TRAFFIC_CLASS, now_ms),
         )
         retry = entry.retries.decide(UPSTREAM, attempt, now_ms)
         if retry is None or not self.retrying:
             self._end(visit.call, error.value)
             return
-        self.events.at(
+        self.events.schedule(
             now_ms + retry.delay_ms,
             lambda: self._try(visit.call, entry, visit.tried),
         )
--- a/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
@@ -36,7 +36,7 @@
 
 
 @attrs.define
-class Events:
+class EventQueue:
     """Events in the order of their times; the clock of a test."""
 
     now_ms: float = 0.0
@@ -45,7 +45,7 @@
     )
     number: itertools.count = attrs.field(factory=itertools.count)
 
-    def at(self, at_ms: float, action: Callable[[], None]) -> None:
+    def schedule(self, at_ms: float, action: Callable[[], None]) -> None:
         heapq.heappush(self.heap, (at_ms, next(self.number), action))
 
     def run(self) -> None:
@@ -78,11 +78,11 @@
     policy: AdmissionPolicy
     slots: int = 10
     max_queue_ms: int = 200
-    events: Events = attrs.field(factory=Events)
+    events: EventQueue = attrs.field(factory=EventQueue)
     calls: list[Call] = attrs.field(factory=list)
     waiting: dict[AdmissionRequest, Call] = attrs.field(factory=dict)
     slow_factor: float = 1.0
-    most_busy: int = 0
+    max_in_flight: int = 0
 
     def __attrs_post_init__(self) -> None:
         limit = ConcurrencyLimit(self.slots, current=self.slots, cold=False)
@@ -105,7 +105,7 @@
             f"{traffic_class.value}-{work_ms}",
         )
         self.calls.append(call)
-        self.events.at(at_ms, lambda: self._offer(call))
+        self.events.schedule(at_ms, lambda: self._offer(call))
 
     def load(
         self, per_s: float, until_ms: float, seed: int = 1, **arguments: object
@@ -139,15 +139,15 @@
             self._begin(ticket, call)
         else:
             self.waiting[ticket] = call
-            self.events.at(ticket.deadline_ms, self._look)
+            self.events.schedule(ticket.deadline_ms, self._look)
 
     def _look(self) -> None:
         self._carry_out(self.admission.start_waiting(self.events.now_ms))
 
     def _begin(self, ticket: AdmissionRequest, call: Call) -> None:
-        self.most_busy = max(self.most_busy, self.admission.in_flight)
+        self.max_in_flight = max(self.max_in_flight, self.admission.in_flight)
         end_ms = self.events.now_ms + call.work_ms * self.slow_factor
-        self.events.at(end_ms, lambda: self._finish(ticket, call))
+        self.events.schedule(end_ms, lambda: self._finish(ticket, call))
 
     def _finish(self, ticket: AdmissionRequest, call: Call) -> None:
         now_ms = self.events.now_ms
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
@@ -99,7 +99,7 @@
     for _ in range(100):
         bench.call(0, BATCH, work_ms=50, timeout_ms=10_000)
     bench.events.run()
-    assert bench.most_busy == bench.slots - 1
+    assert bench.max_in_flight == bench.slots - 1
 
 
 def test_target_that_turns_slow() -> None:
@@ -110,7 +110,7 @@
     """
     bench = Bench(SHARED)
     bench.load(800, 4000, timeout_ms=400)
-    bench.events.at(1000, lambda: setattr(bench, "slow_factor", 10.0))
+    bench.events.schedule(1000, lambda: setattr(bench, "slow_factor", 10.0))
     bench.events.run()
     outcomes = bench.outcomes()
     late = len(outcomes.get("deadline_unknown", []))
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
@@ -15,7 +15,7 @@
     TrafficClass,
     WorkResult,
 )
-from pomelobank_core.tests.load_support import Events
+from pomelobank_core.tests.load_support import EventQueue
 
 SLOTS = 18
 
@@ -52,7 +52,7 @@
 
     first_come: bool = False
     slots: int = SLOTS
-    events: Events = attrs.field(factory=Events)
+    events: EventQueue = attrs.field(factory=EventQueue)
     seeded: random.Random = attrs.field(factory=lambda: random.Random(1))
     outcomes: dict[str, dict[str, int]] = attrs.field(factory=dict)
 
@@ -67,7 +67,7 @@
         while (at_ms := at_ms + self.seeded.expovariate(work.per_s) * 1000) < (
             end_ms
         ):
-            self.events.at(at_ms, lambda: self._offer(work))
+            self.events.schedule(at_ms, lambda: self._offer(work))
 
     def _offer(self, work: Work) -> None:
         now_ms = self.events.now_ms
@@ -90,7 +90,7 @@
     def _run(self, ticket: AdmissionRequest) -> None:
         work = self.work[ticket]
         took_ms = work.work_ms * self.seeded.uniform(0.7, 1.3)
-        self.events.at(
+        self.events.schedule(
             self.events.now_ms + took_ms, lambda: self._ended(ticket)
         )
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_retries.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_retries.py
@@ -101,7 +101,7 @@
     fleet = Fleet([member(f"t{number}") for number in range(4)])
     fleet.load(400, 3000)
     for number in range(3):
-        fleet.events.at(
+        fleet.events.schedule(
             500 + 200 * number, lambda n=number: fleet.kill(f"t{n}")
         )
     fleet.events.run()
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_two_choices.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_two_choices.py
@@ -11,7 +11,7 @@
     TargetResult,
     TwoChoices,
 )
-from pomelobank_core.tests.fleet_support import CLASS, Fleet, member
+from pomelobank_core.tests.fleet_support import TRAFFIC_CLASS, Fleet, member
 from pomelobank_core.tests.load_support import quantile
 
 FOUR = [member(f"t{number}") for number in range(4)]
@@ -67,12 +67,12 @@
     fleet = Fleet(FOUR)
     fleet.load(800, 15_000)
     for name in ("t0", "t1"):
-        fleet.events.at(2000, lambda n=name: fleet.kill(n))
-        fleet.events.at(
+        fleet.events.schedule(2000, lambda n=name: fleet.kill(n))
+        fleet.events.schedule(
             4000, lambda n=name: setattr(fleet.targets[n], "dead", False)
         )
     before = {}
-    fleet.events.at(12_000, lambda: before.update(_runs(fleet)))
+    fleet.events.schedule(12_000, lambda: before.update(_runs(fleet)))
     fleet.events.run()
     assert set(fleet.outcomes()) == {"answered"}
     assert max(fleet.runs.values()) <= 3
@@ -85,10 +85,10 @@
     fleet = Fleet(FOUR)
     fleet.load(500, 6000)
     for target in fleet.targets.values():
-        fleet.events.at(1000, lambda t=target: setattr(t, "dead", True))
-        fleet.events.at(3000, lambda t=target: setattr(t, "dead", False))
+        fleet.events.schedule(1000, lambda t=target: setattr(t, "dead", True))
+        fleet.events.schedule(3000, lambda t=target: setattr(t, "dead", False))
     ejected = []
-    fleet.events.at(
+    fleet.events.schedule(
         2900,
         lambda: ejected.extend(
             len(entry.load_balancer.ejected_nodes()) for entry in fleet.entries
@@ -138,13 +138,13 @@
     candidates = CandidateIndex(table).of("stock")
     placing = TwoChoices(random.Random(1))
     for target, took_ms in ((near, 30.0), (far, 12.0)):
-        seen = RequestOutcome(TargetResult.RESPONDED, CLASS, took_ms)
+        seen = RequestOutcome(TargetResult.RESPONDED, TRAFFIC_CLASS, took_ms)
         placing.on_ended(target, candidates, seen, 0)
-    assert placing.pick(candidates, set(), CLASS, 1) == near
+    assert placing.pick(candidates, set(), TRAFFIC_CLASS, 1) == near
     for _ in range(20):
-        seen = RequestOutcome(TargetResult.RESPONDED, CLASS, 200.0)
+        seen = RequestOutcome(TargetResult.RESPONDED, TRAFFIC_CLASS, 200.0)
         placing.on_ended(near, candidates, seen, 2)
-    assert placing.pick(candidates, set(), CLASS, 3) == far
+    assert placing.pick(candidates, set(), TRAFFIC_CLASS, 3) == far
 
 
 def test_full_hint_ages_out() -> None:
@@ -153,21 +153,25 @@
     table.merge([member("a")])
     index = CandidateIndex(table)
     placing = TwoChoices(random.Random(1))
-    entry = placing.pick(index.of("stock"), set(), CLASS, 0)
+    entry = placing.pick(index.of("stock"), set(), TRAFFIC_CLASS, 0)
     assert entry is not None
     placing.on_sent(entry, 0)
     full = RequestOutcome(
-        TargetResult.FULL, CLASS, outstanding=30, retry_after_ms=60_000
+        TargetResult.FULL, TRAFFIC_CLASS, outstanding=30, retry_after_ms=60_000
     )
     placing.on_ended(entry, index.of("stock"), full, 1)
-    assert not placing.has_capacity(entry, CLASS, 100)
+    assert not placing.has_capacity(entry, TRAFFIC_CLASS, 100)
     assert placing.has_capacity(entry, "batch", 100)
-    assert placing.has_capacity(entry, CLASS, 300)
+    assert placing.has_capacity(entry, TRAFFIC_CLASS, 300)
     assert (
-        placing.all_full_retry_after_ms(index.of("stock"), CLASS, 10) == 60_000
+        placing.all_full_retry_after_ms(index.of("stock"), TRAFFIC_CLASS, 10)
+        == 60_000
     )
     assert placing.all_full_retry_after_ms(index.of("stock"), "batch", 10) == 0
-    assert placing.all_full_retry_after_ms(index.of("stock"), CLASS, 30) == 0
+    assert (
+        placing.all_full_retry_after_ms(index.of("stock"), TRAFFIC_CLASS, 30)
+        == 0
+    )
 
 
 def test_new_target_gets_its_part_slowly() -> None:
@@ -176,9 +180,9 @@
     newcomer = member("t3")
     fleet.targets["t3"] = Fleet([newcomer]).targets["t3"]
     fleet.load(2000, 16_000)
-    fleet.events.at(2000, lambda: fleet.merge(newcomer))
+    fleet.events.schedule(2000, lambda: fleet.merge(newcomer))
     early = []
-    fleet.events.at(4000, lambda: early.append(fleet.targets["t3"].runs))
+    fleet.events.schedule(4000, lambda: early.append(fleet.targets["t3"].runs))
     fleet.events.run()
     assert early[0] < 0.5 * 2000 * 2 / 4
     assert fleet.targets["t3"].runs - early[0] > 0.7 * 2000 * 12 / 4
@@ -198,7 +202,7 @@
     def chosen(now_ms: float) -> int:
         count = 0
         for _ in range(200):
-            entry = placing.pick(candidates, set(), CLASS, now_ms)
+            entry = placing.pick(candidates, set(), TRAFFIC_CLASS, now_ms)
             assert entry is not None
             if entry.node == "t0":
                 placing.on_sent(entry, now_ms)
--- a/packages/pomelobank-node/src/pomelobank_node/published/tests/test_hand_over.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/tests/test_hand_over.py
@@ -27,7 +27,7 @@
 from pomelobank_node.tests.virtual_time import (
     VirtualClock,
     VirtualTime,
-    run_virtually,
+    run_in_virtual_time,
 )
 from pomelobank_schema import WireMessage
 from pomelobank_schema.generated.peer import MemberEntry, MemberVersion
@@ -237,7 +237,7 @@
     """Guards against readers that nobody relieves when they are turned away."""
     time = VirtualTime()
     world = World(random.Random(seed), time, nodes)
-    run_virtually(time, play(world, troubled=True))
+    run_in_virtual_time(time, play(world, troubled=True))
 
 
 @pytest.mark.parametrize(
@@ -249,7 +249,7 @@
     """Guards against calls that grow with nodes or data centres."""
     time = VirtualTime()
     world = World(random.Random(1), time, nodes)
-    run_virtually(time, play(world, troubled=False))
+    run_in_virtual_time(time, play(world, troubled=False))
     for_changes = READER_COUNT * world.version
     at_rest = READER_COUNT * time.now_s * 1000 / LONG_POLL_MS
     assert world.calls <= READER_COUNT + for_changes + at_rest
@@ -279,5 +279,5 @@
     time = VirtualTime()
     killed: set[str] = set()
     world = World(random.Random(1), time, MANY)
-    run_virtually(time, publish_while_silent(world, killed))
+    run_in_virtual_time(time, publish_while_silent(world, killed))
     assert len(killed) == READER_COUNT
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_contact_finder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_contact_finder.py
@@ -11,7 +11,7 @@
 from pomelobank_node.tests.virtual_time import (
     VirtualClock,
     VirtualTime,
-    run_virtually,
+    run_in_virtual_time,
 )
 from pomelobank_schema import WireMessage, encode
 from pomelobank_schema.generated.peer import MemberEntry
@@ -104,7 +104,7 @@
         asyncio.get_running_loop().call_later(0.01, log.add, announcement())
         assert await found._join()
 
-    run_virtually(time, play())
+    run_in_virtual_time(time, play())
     assert (log.reads, log.appends) == (1, 0)
 
 
@@ -115,7 +115,7 @@
     async def play() -> None:
         assert not await finder(log, time)._join()
 
-    run_virtually(time, play())
+    run_in_virtual_time(time, play())
     assert (log.reads, log.appends) == (2, 1)
 
 
@@ -129,5 +129,5 @@
         await asyncio.sleep(60)
         task.cancel()
 
-    run_virtually(time, play())
+    run_in_virtual_time(time, play())
     assert log.reads <= 15
--- a/packages/pomelobank-node/src/pomelobank_node/tests/virtual_time.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/virtual_time.py
@@ -64,7 +64,9 @@
         return self.now_ms()
 
 
-def run_virtually(time: VirtualTime, work: Coroutine[Any, Any, None]) -> None:
+def run_in_virtual_time(
+    time: VirtualTime, work: Coroutine[Any, Any, None]
+) -> None:
     """Runs a coroutine; a minute of its sleeps takes no time."""
     loop = _VirtualLoop(time)
     try:
--- a/packages/pomelobank-testing/src/pomelobank_testing/_chaos.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_chaos.py
@@ -38,21 +38,21 @@
 
 
 @attrs.define
-class Sent:
+class SentRequest:
     """One sending of a request and how it ended.
 
     Attributes:
         run_id: What the target counts.
         method: HTTP method.
         key: Idempotency key; empty without.
-        answer: "answered", the error kind, or why there was none.
+        outcome: "answered", the error kind, or why there was none.
         run: What the answer says about the run.
     """
 
     run_id: str
     method: str
     key: str
-    answer: str = ""
+    outcome: str = ""
     run: str = ""
 
 
@@ -77,7 +77,7 @@
     faults: random.Random
     seeded: random.Random
     down: set[str] = attrs.field(factory=set)
-    sent: list[Sent] = attrs.field(factory=list)
+    sent: list[SentRequest] = attrs.field(factory=list)
     changes: dict[str, int] = attrs.field(factory=dict)
     problems: list[str] = attrs.field(factory=list)
     versions: dict[tuple[str, int], int] = attrs.field(factory=dict)
@@ -105,13 +105,13 @@
         if method == "POST" and self.seeded.random() < 1 / 2:
             key, sendings = run_id, 3
         for _ in range(sendings):
-            sent = Sent(run_id, method, key)
+            sent = SentRequest(run_id, method, key)
             self.sent.append(sent)
             await self._send(sent)
-            if sent.answer == "answered":
+            if sent.outcome == "answered":
                 return
 
-    async def _send(self, sent: Sent) -> None:
+    async def _send(self, sent: SentRequest) -> None:
         entry = self.seeded.choice(self._listening())
         headers = {"x-run-id": sent.run_id, "x-work-ms": "5"}
         if sent.key:
@@ -122,9 +122,9 @@
                     entry, SERVICE, "/reorders", sent.method, headers=headers
                 )
         except aiohttp.ClientError as error:
-            sent.answer = type(error).__name__
+            sent.outcome = type(error).__name__
         except TimeoutError:
-            sent.answer = "silence"
+            sent.outcome = "silence"
             # A frozen entry cannot answer; its own callers see the silence.
             if entry not in self.down:
                 self.problems.append(f"no answer from {entry}: {sent}")
@@ -132,16 +132,20 @@
             self._take_answer(sent, status, answered, body)
 
     def _take_answer(
-        self, sent: Sent, status: int, headers: dict[str, str], body: bytes
+        self,
+        sent: SentRequest,
+        status: int,
+        headers: dict[str, str],
+        body: bytes,
     ) -> None:
         if status == _OK:
-            sent.answer = "answered"
+            sent.outcome = "answered"
             if json.loads(body).get("run_id") != sent.run_id:
                 self.problems.append(f"another's answer: {sent}, {body!r}")
             return
-        sent.answer = headers.get("x-pomelobank-error", f"status {status}")
+        sent.outcome = headers.get("x-pomelobank-error", f"status {status}")
         sent.run = headers.get("x-pomelobank-run", "")
-        if sent.answer == "no_route":
+        if sent.outcome == "no_route":
             # The route was in force before the first request and stays.
             self.problems.append(f"an accepted route was not known: {sent}")
 
@@ -330,18 +334,18 @@
         runs: Counter[str] = Counter()
         for target in self.mesh.targets.values():
             runs.update(target.service.runs)
-        sendings: dict[str, list[Sent]] = {}
+        sendings: dict[str, list[SentRequest]] = {}
         for sent in self.sent:
             sendings.setdefault(sent.run_id, []).append(sent)
         for run_id, tries in sendings.items():
             self._check_request(tries, runs[run_id])
 
-    def _check_request(self, tries: list[Sent], runs: int) -> None:
+    def _check_request(self, tries: list[SentRequest], runs: int) -> None:
         if tries[0].method == "POST" and runs > 1:
             self.problems.append(f"ran {runs} times: {tries}")
         if runs and all(sent.run == _NOT_RUN for sent in tries):
             self.problems.append(f"ran although not run was said: {tries}")
-        answered = any(sent.answer == "answered" for sent in tries)
+        answered = any(sent.outcome == "answered" for sent in tries)
         if answered and not runs:
             self.problems.append(f"answered without a run: {tries}")
 
@@ -430,7 +434,7 @@
     chaos = asyncio.run(
         run(options.seed, options.nodes, options.faults, options.callers)
     )
-    answers = Counter(sent.answer for sent in chaos.sent)
+    answers = Counter(sent.outcome for sent in chaos.sent)
     verdicts = Counter(chaos.changes.values())
     print(f"{len(chaos.sent)} sendings: {dict(answers.most_common())}")
     print(f"{len(chaos.changes)} changes by status: {dict(verdicts)}")
--- a/packages/pomelobank-testing/src/pomelobank_testing/_config_model.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_config_model.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class Rules:
+class FunctionsUnderTest:
     """The functions under test; a test replaces one to see the model fail.
 
     Attributes:
@@ -48,8 +48,8 @@
         adopt: Takes over a snapshot.
         snapshot: Makes a snapshot.
         ready: Tells whether a starting node may serve at a version.
-        told: Whether the news of a version reaches the other node before the
-            node that has applied it can die.
+        announced: Whether the news of a version reaches the other node before
+            the node that has applied it can die.
     """
 
     advance: Callable[[ConfigState, int, ChangeRecord | None], ConfigState] = (
@@ -60,7 +60,7 @@
     ready: Callable[[MinServingVersion, int], bool] = lambda floor, version: (
         floor.update(version, 0)
     )
-    told: bool = True
+    announced: bool = True
 
 
 @attrs.frozen
@@ -143,7 +143,7 @@
 
 
 @attrs.frozen(cache_hash=True)
-class World:
+class ModelState:
     """One state of the whole model.
 
     Attributes:
@@ -163,7 +163,7 @@
     went_back: bool = False
 
 
-Step = tuple[str, World]
+Step = tuple[str, ModelState]
 
 
 def service_change(
@@ -201,12 +201,12 @@
     Attributes:
         changes: The changes that operators send, by id.
         bounds: How far the search goes.
-        rules: The functions under test.
+        functions: The functions under test.
     """
 
     changes: dict[str, ChangeRecord]
     bounds: Bounds
-    rules: Rules = attrs.field(factory=Rules)
+    functions: FunctionsUnderTest = attrs.field(factory=FunctionsUnderTest)
 
     def protocol(self) -> minicheck.Protocol:
         """Returns the model in the checker's form."""
@@ -214,7 +214,7 @@
             name="configuration",
             candidate=False,
             fields=("world",),
-            initial=(World(),),
+            initial=(ModelState(),),
             transitions=lambda state: [
                 (label, (_ordered(world),))
                 for label, world in self.steps(state[0])
@@ -225,7 +225,7 @@
             },
         )
 
-    def invariants(self) -> dict[str, Callable[[World], bool]]:
+    def invariants(self) -> dict[str, Callable[[ModelState], bool]]:
         """Returns what must hold in every state."""
         return {
             "no_node_goes_back": lambda world: not world.went_back,
@@ -234,7 +234,7 @@
             "replay_is_as_specified": self._as_specified,
         }
 
-    def steps(self, world: World) -> Iterator[Step]:
+    def steps(self, world: ModelState) -> Iterator[Step]:
         """Yields every step from a state."""
         yield from self._appends(world)
         yield from self._snapshots(world)
@@ -245,7 +245,7 @@
             yield from self._digests(world, index)
             yield from self._restarts(world, index)
 
-    def _appends(self, world: World) -> Iterator[Step]:
+    def _appends(self, world: ModelState) -> Iterator[Step]:
         for change_id, limit in self.bounds.sends.items():
             if world.log.count(change_id) < limit:
                 yield (
@@ -253,7 +253,7 @@
                     attrs.evolve(world, log=(*world.log, change_id)),
                 )
 
-    def _snapshots(self, world: World) -> Iterator[Step]:
+    def _snapshots(self, world: ModelState) -> Iterator[Step]:
         states = {node.state for node in world.nodes if node.ready}
         if world.made < self.bounds.snapshots:
             for state in sorted(states, key=str):
@@ -270,11 +270,11 @@
                 attrs.evolve(world, held=held, log=(*world.log, state)),
             )
 
-    def _trims(self, world: World) -> Iterator[Step]:
+    def _trims(self, world: ModelState) -> Iterator[Step]:
         if world.first_kept < min(len(world.log), self.bounds.trims):
             yield "trim", attrs.evolve(world, first_kept=world.first_kept + 1)
 
-    def _reads(self, world: World, index: int) -> Iterator[Step]:
+    def _reads(self, world: ModelState, index: int) -> Iterator[Step]:
         node = world.nodes[index]
         version = node.state.version
         if version < world.first_kept:
@@ -288,7 +288,7 @@
             node = attrs.evolve(node, read_end=True)
         yield f"node {index} reads", self._move(world, index, node, state)
 
-    def _recovered(self, world: World, state: State) -> State:
+    def _recovered(self, world: ModelState, state: State) -> State:
         kept = range(world.first_kept, len(world.log))
         for offset in kept:
             item = world.log[offset]
@@ -302,7 +302,7 @@
                 return self._adopted(state, item)
         return state
 
-    def _pushes(self, world: World, index: int) -> Iterator[Step]:
+    def _pushes(self, world: ModelState, index: int) -> Iterator[Step]:
         node = world.nodes[index]
         newest = max(other.state.version for other in world.nodes)
         for offset in range(newest):
@@ -320,7 +320,7 @@
                     self._move(world, index, node, state),
                 )
 
-    def _digests(self, world: World, index: int) -> Iterator[Step]:
+    def _digests(self, world: ModelState, index: int) -> Iterator[Step]:
         node = world.nodes[index]
         if node.ready:
             return
@@ -338,13 +338,13 @@
                 self._move(world, index, told, node.state),
             )
 
-    def _restarts(self, world: World, index: int) -> Iterator[Step]:
+    def _restarts(self, world: ModelState, index: int) -> Iterator[Step]:
         node = world.nodes[index]
         if node.restarts < self.bounds.restarts:
             fresh = Node(served=node.served, restarts=node.restarts + 1)
             yield f"node {index} restarts", _with(world, index, fresh)
 
-    def _as_specified(self, world: World) -> bool:
+    def _as_specified(self, world: ModelState) -> bool:
         return all(
             node.state.key == self._specified(world.log, node.state.version)
             for node in world.nodes
@@ -373,8 +373,8 @@
         return version, objects, tuple(verdicts.values())
 
     def _move(
-        self, world: World, index: int, node: Node, state: State
-    ) -> World:
+        self, world: ModelState, index: int, node: Node, state: State
+    ) -> ModelState:
         older = state.version < node.state.version
         heard = max(node.heard, state.version)
         floor = MinServingVersion(
@@ -384,7 +384,7 @@
             first_ready_ms=0 if node.met_ready else None,
             ready=node.ready,
         )
-        ready = self.rules.ready(floor, state.version)
+        ready = self.functions.ready(floor, state.version)
         moved = Node(
             state=state,
             heard=heard,
@@ -394,7 +394,7 @@
             served=max(node.served, state.version) if ready else node.served,
             restarts=node.restarts,
         )
-        told = heard if self.rules.told else 0
+        told = heard if self.functions.announced else 0
         nodes = tuple(
             moved if place == index else _hear(other, told)
             for place, other in enumerate(world.nodes)
@@ -406,26 +406,28 @@
     @functools.cache  # noqa: B019 - the model lives as long as its check
     def _advanced(self, state: State, offset: int, item: str | State) -> State:
         change = self.changes[item] if isinstance(item, str) else None
-        return State.of(self.rules.advance(state.value, offset, change))
+        return State.of(self.functions.advance(state.value, offset, change))
 
     @functools.cache  # noqa: B019 - the model lives as long as its check
     def _snapshot(self, state: State) -> SnapshotRecord:
-        return self.rules.snapshot(state.value)
+        return self.functions.snapshot(state.value)
 
     @functools.cache  # noqa: B019 - the model lives as long as its check
     def _adopted(self, state: State, item: State) -> State:
-        match self.rules.adopt(state.value, self._snapshot(item)):
+        match self.functions.adopt(state.value, self._snapshot(item)):
             case Success(found):
                 return State.of(found)
             case _:
                 return state
 
 
-def _holds(check: Callable[[World], bool], fields: dict[str, World]) -> bool:
+def _holds(
+    check: Callable[[ModelState], bool], fields: dict[str, ModelState]
+) -> bool:
     return check(fields["world"])
 
 
-def _ordered(world: World) -> World:
+def _ordered(world: ModelState) -> ModelState:
     # The nodes are alike, so states that differ only in which node is which
     # need to be searched once.
     first, second = world.nodes
@@ -446,7 +448,7 @@
     )
 
 
-def _with(world: World, index: int, node: Node) -> World:
+def _with(world: ModelState, index: int, node: Node) -> ModelState:
     nodes = list(world.nodes)
     nodes[index] = node
     return attrs.evolve(world, nodes=tuple(nodes))
@@ -458,13 +460,13 @@
     return attrs.evolve(node, heard=version)
 
 
-def _no_restart_serves_older(world: World) -> bool:
+def _no_restart_serves_older(world: ModelState) -> bool:
     return all(
         node.state.version >= node.served for node in world.nodes if node.ready
     )
 
 
-def _references_hold(world: World) -> bool:
+def _references_hold(world: ModelState) -> bool:
     return not any(
         check_objects(node.state.value.snapshot.objects) for node in world.nodes
     )
--- a/packages/pomelobank-testing/src/pomelobank_testing/_config_watch.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_config_watch.py
@@ -28,13 +28,13 @@
         mesh: The mesh.
         versions: Every version seen, by node process.
         objects: What a version holds, by version.
-        wrong: What went wrong.
+        problems: What went wrong.
     """
 
     mesh: TestMesh
     versions: dict[int, list[int]] = attrs.field(factory=dict)
     objects: dict[int, list[Any]] = attrs.field(factory=dict)
-    wrong: list[str] = attrs.field(factory=list)
+    problems: list[str] = attrs.field(factory=list)
     channels: dict[str, grpc.aio.Channel] = attrs.field(factory=dict)
     task: asyncio.Task[None] | None = None
 
@@ -49,7 +49,7 @@
         for channel in self.channels.values():
             await channel.close(None)
         if kind is None:
-            assert self.wrong == []
+            assert self.problems == []
 
     def stub(self, node: str) -> OperatorStub:
         """Returns the operators' calls of a node."""
@@ -128,11 +128,11 @@
             return
         seen = self.versions.setdefault(process_id, [])
         if seen and reply.version < seen[-1]:
-            self.wrong.append(f"{name}: {seen[-1]}, then {reply.version}")
+            self.problems.append(f"{name}: {seen[-1]}, then {reply.version}")
         seen.append(reply.version)
         known = self.objects.setdefault(reply.version, list(reply.objects))
         if known != list(reply.objects):
-            self.wrong.append(f"{name} differs at version {reply.version}")
+            self.problems.append(f"{name} differs at version {reply.version}")
 
 
 def put_service(name: str, expected_revision: int = -1) -> pb.Operation:
--- a/packages/pomelobank-testing/src/pomelobank_testing/_core_members.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_core_members.py
@@ -16,7 +16,7 @@
 
 from pomelobank_core import MemberState
 from pomelobank_schema.generated.settings import MembershipSettings
-from pomelobank_testing._member_fleet import STEP_MS, MemberFleet
+from pomelobank_testing._member_fleet import TIME_STEP_MS, MemberFleet
 
 _MS_PER_S = 1000
 _QUIET_MS = 20_000
@@ -69,7 +69,7 @@
     """Measures a fleet of one size."""
     table_bytes = _memory_of_one(count)
     fleet = MemberFleet.of(count)
-    fleet.run(2 * STEP_MS)
+    fleet.run(2 * TIME_STEP_MS)
     rest_bytes, processor = _at_rest(fleet)
     suspicions = sum(swim.suspected for swim in fleet.members.values())
     versions_ms, version_bytes = _versions(fleet)
@@ -173,7 +173,7 @@
     swim = fleet.members[entry.peer_address]
     swim.table.update_own(state=MemberState.DRAINING.value)
     actions = swim.broadcast_own_entry() if direct else swim.gossip_own_entry()
-    fleet.act(entry.peer_address, entry.peer_address, actions)
+    fleet.execute(entry.peer_address, entry.peer_address, actions)
     return fleet.run_until(
         lambda: fleet.all_see(entry.node, MemberState.DRAINING.value),
         _LIMIT_MS,
--- a/packages/pomelobank-testing/src/pomelobank_testing/_experiment.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_experiment.py
@@ -7,8 +7,8 @@
     MECHANISMS,
     PATTERNS,
     Outcomes,
-    play,
-    worth_bound,
+    max_value_ratio,
+    run_pattern,
 )
 
 _ROW = "{:<10} {:>6} {:>6} {:>6} {:>8} {:>7} {:>13} {:>9}"
@@ -31,13 +31,15 @@
         parser.error("--seeds takes a whole number from 1 on")
     pattern = PATTERNS[options.pattern]
     without = frozenset(options.without)
-    runs = [play(pattern, seed, without) for seed in range(options.seeds)]
+    runs = [
+        run_pattern(pattern, seed, without) for seed in range(options.seeds)
+    ]
     print(f"{options.pattern}: {pattern.purpose}")
     _print_routes(runs)
-    worths = [run.worth for run in runs]
+    worths = [run.value_ratio for run in runs]
     bound = statistics.fmean(
-        worth_bound(pattern, at_s + 0.5)
-        for at_s in range(int(pattern.length_s))
+        max_value_ratio(pattern, at_s + 0.5)
+        for at_s in range(int(pattern.duration_s))
     )
     print(
         f"worth {statistics.fmean(worths):.3f}"
@@ -51,16 +53,16 @@
     heads = ("asked", "in aim", "late", "refused", "failed")
     print(_ROW.format("route", *heads, "refused in ms", "arrivals"))
     for route in runs[0].pattern.routes:
-        found = [run.of(route.name) for run in runs]
+        found = [run.for_route(route.name) for run in runs]
         print(
             _ROW.format(
                 route.name,
-                sum(item.asked for item in found),
-                sum(item.in_aim for item in found),
+                sum(item.requests for item in found),
+                sum(item.within_objective for item in found),
                 sum(item.past_objective for item in found),
                 sum(item.refused for item in found),
                 sum(item.failed for item in found),
-                round(max(item.held_p95_ms for item in found)),
+                round(max(item.refusal_time_p95_ms for item in found)),
                 sum(item.arrivals for item in found),
             )
         )
--- a/packages/pomelobank-testing/src/pomelobank_testing/_goodput.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_goodput.py
@@ -219,14 +219,14 @@
     }
 
 
-class Rig:
+class Bench:
     """Nodes and targets with one way of admission and placing."""
 
     def __init__(self, requests: dict[str, Any]) -> None:
         self.mesh = TestMesh(overrides={"requests": requests})
         self.targets: list[subprocess.Popen[str]] = []
 
-    async def __aenter__(self) -> "Rig":
+    async def __aenter__(self) -> "Bench":
         await self.mesh.__aenter__()
         names = [f"node-{number}" for number in range(_NODES)]
         await asyncio.gather(
@@ -315,7 +315,7 @@
 ) -> dict[str, Any]:
     figures = {}
     for load in loads:
-        async with Rig(requests) as rig:
+        async with Bench(requests) as rig:
             callers = rig.callers(SHORT, load * SHORT.capacity())
             await callers.run(seconds)
             figures[f"{load:g}"] = callers.summary(seconds)
@@ -326,7 +326,7 @@
 
 
 async def _classes(requests: dict[str, Any], seconds: float) -> dict[str, Any]:
-    async with Rig(requests) as rig:
+    async with Bench(requests) as rig:
         alone = rig.callers(LOOK_UP, _LOOK_UPS_PER_S)
         await alone.run(seconds)
         beside = rig.callers(LOOK_UP, _LOOK_UPS_PER_S)
--- a/packages/pomelobank-testing/src/pomelobank_testing/_latency.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_latency.py
@@ -50,7 +50,7 @@
 
 
 @attrs.define(eq=False)
-class Way:
+class RequestPath:
     """One way to the target, with what was measured on it.
 
     Attributes:
@@ -138,7 +138,9 @@
         Returns:
             The figures of each way and what each adds to a direct call.
         """
-        ways = [Way(name, item) for name, item in self.addresses.items()]
+        ways = [
+            RequestPath(name, item) for name, item in self.addresses.items()
+        ]
         for _ in range(blocks):
             for way in ways:
                 await self._block(way, rate, seconds)
@@ -157,7 +159,7 @@
             "added_us_by_turn": turns,
         }
 
-    async def _block(self, way: Way, rate: int, seconds: float) -> None:
+    async def _block(self, way: RequestPath, rate: int, seconds: float) -> None:
         client = LightClient(parse_address(way.address), self.request())
         await client.open(_CONNECTIONS if rate else 1)
         await client.run_closed(_CONNECTIONS)
@@ -177,7 +179,9 @@
         way.failed += client.failed
 
 
-def _added_by_turn(direct: Way, way: Way) -> dict[str, list[int]]:
+def _added_by_turn(
+    direct: RequestPath, way: RequestPath
+) -> dict[str, list[int]]:
     """Returns what each block adds to the direct block of the same turn.
 
     On a machine that does other work too, the lowest turns are those that
--- a/packages/pomelobank-testing/src/pomelobank_testing/_light_client.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_light_client.py
@@ -63,7 +63,7 @@
         latencies_us: Latency of each answered request.
         failed: Requests that were answered with another status than 200.
         idle: Connections without a request.
-        waiting: Requests under way.
+        in_flight: Requests under way.
     """
 
     address: tuple[str, int]
@@ -73,7 +73,7 @@
     idle: collections.deque[LightConnection] = attrs.field(
         factory=collections.deque
     )
-    waiting: int = 0
+    in_flight: int = 0
     quiet: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def open(self, connections: int) -> None:
@@ -95,13 +95,13 @@
         if status != _OK:
             self.failed += 1
         self.idle.append(connection)
-        self.waiting -= 1
-        if not self.waiting:
+        self.in_flight -= 1
+        if not self.in_flight:
             self.quiet.set()
 
     def _send(self, connection: LightConnection) -> None:
         self.quiet.clear()
-        self.waiting += 1
+        self.in_flight += 1
         connection.send(self.data)
 
     async def run_closed(self, calls: int) -> None:
@@ -120,7 +120,7 @@
             if not self.idle:
                 self.idle.append(await self._connect())
             self._send(self.idle.popleft())
-        if self.waiting:
+        if self.in_flight:
             await self.quiet.wait()
 
     def close(self) -> None:
--- a/packages/pomelobank-testing/src/pomelobank_testing/_member_fleet.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_member_fleet.py
@@ -20,7 +20,7 @@
 from pomelobank_schema.generated.settings import MembershipSettings
 from pomelobank_schema.packed_frames import encode_frame, unpack_frame
 
-STEP_MS = 100
+TIME_STEP_MS = 100
 
 
 @attrs.frozen
@@ -50,7 +50,7 @@
         frozen: Addresses of machines that stand still; their frames wait.
         reachable: Tells whether a frame gets from one address to another.
         sent_bytes: Bytes that each address sent.
-        far_bytes: Bytes sent between data centres.
+        remote_bytes: Bytes sent between data centres.
         partners: Addresses that each address sent frames to.
         frames: Frames that were delivered.
     """
@@ -62,7 +62,7 @@
     frozen: set[str] = attrs.field(factory=set)
     reachable: Callable[[str, str], bool] = lambda source, destination: True
     sent_bytes: dict[str, int] = attrs.field(factory=dict)
-    far_bytes: int = 0
+    remote_bytes: int = 0
     partners: dict[str, set[str]] = attrs.field(factory=dict)
     frames: int = 0
     data_centres: dict[str, str] = attrs.field(factory=dict)
@@ -106,7 +106,7 @@
 
     def join(self, address: str, contact: str) -> None:
         """Lets a member compare its table with another."""
-        self.act(
+        self.execute(
             address, address, [self.members[address].sync_request(contact)]
         )
 
@@ -114,7 +114,7 @@
         """Ends a member without a word."""
         del self.members[address]
 
-    def act(
+    def execute(
         self, address: str, reply_to: str, actions: list[SwimAction]
     ) -> None:
         """Sends what a machine asks for."""
@@ -128,14 +128,14 @@
         self.sent_bytes[source] += size
         self.partners[source].add(destination)
         if self.data_centres[source] != self.data_centres[destination]:
-            self.far_bytes += size
+            self.remote_bytes += size
 
     def step(self) -> None:
         """Moves the time on, lets every member act and delivers all frames."""
-        self.now_ms += STEP_MS
+        self.now_ms += TIME_STEP_MS
         for address, swim in list(self.members.items()):
             if address not in self.frozen:
-                self.act(address, address, swim.tick(self.now_ms))
+                self.execute(address, address, swim.tick(self.now_ms))
         held = deque[Envelope]()
         while self.queue:
             envelope = self.queue.popleft()
@@ -155,11 +155,11 @@
         frame = decode(envelope.data, peer.KINDS)
         frame = unpack_frame(frame, peer.KINDS)
         actions = take_member_frame(frame, swim, self.now_ms)
-        self.act(envelope.destination, envelope.source, actions)
+        self.execute(envelope.destination, envelope.source, actions)
 
     def run(self, duration_ms: int) -> None:
         """Runs for a time."""
-        for _ in range(duration_ms // STEP_MS):
+        for _ in range(duration_ms // TIME_STEP_MS):
             self.step()
 
     def run_until(self, condition: Callable[[], bool], limit_ms: int) -> int:
--- a/packages/pomelobank-testing/src/pomelobank_testing/_relay.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_relay.py
@@ -62,7 +62,7 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    def set_cut(self, silent: set[str], refused: set[str]) -> None:
+    def set_partition(self, silent: set[str], refused: set[str]) -> None:
         """Cuts data centres off, or heals the cut with empty sets."""
         self.silent, self.refused = silent, refused
         changed, self.changed = self.changed, asyncio.Event()
@@ -188,7 +188,7 @@
             self.targets[name].announce_to(node.addresses["admin"])
         return node
 
-    def cut(self, data_centre: str, silent: bool) -> None:
+    def partition(self, data_centre: str, silent: bool) -> None:
         """Cuts a data centre off from all others.
 
         Args:
@@ -200,12 +200,14 @@
         for name, relay in self.relays.items():
             inside = self.places[name] == data_centre
             sources = others if inside else {data_centre}
-            relay.set_cut(*((sources, set()) if silent else (set(), sources)))
+            relay.set_partition(
+                *((sources, set()) if silent else (set(), sources))
+            )
 
     def heal(self) -> None:
         """Ends every cut."""
         for relay in self.relays.values():
-            relay.set_cut(set(), set())
+            relay.set_partition(set(), set())
 
 
 async def member_states(mesh: TestMesh, node: str) -> dict[str, str]:
--- a/packages/pomelobank-testing/src/pomelobank_testing/_traffic.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_traffic.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Sent:
+class SentRequest:
     """One request and how it ended for its caller.
 
     Attributes:
@@ -51,7 +51,7 @@
         path: Path of the requests.
         entries: Nodes that callers use.
         callers: Number of callers.
-        longest_work_ms: Longest work of a request.
+        max_work_ms: Longest work of a request.
         seeded: Source of randomness.
         sent: Requests that have ended.
         in_flight: Requests that have not.
@@ -62,9 +62,9 @@
     path: str
     entries: list[str]
     callers: int = 12
-    longest_work_ms: int = 30
+    max_work_ms: int = 30
     seeded: random.Random = attrs.field(factory=lambda: random.Random(1))
-    sent: list[Sent] = attrs.field(factory=list)
+    sent: list[SentRequest] = attrs.field(factory=list)
     in_flight: int = 0
     tasks: list[asyncio.Task[None]] = attrs.field(factory=list)
     ended: asyncio.Event = attrs.field(factory=asyncio.Event)
@@ -116,9 +116,9 @@
                 # A caller that was refused does not come back at once.
                 await asyncio.sleep(0.02)
 
-    async def _call(self, entry: str) -> Sent:
+    async def _call(self, entry: str) -> SentRequest:
         self.numbers += 1
-        request = Sent(
+        request = SentRequest(
             run_id=f"run-{self.numbers}",
             entry=entry,
             method=self.seeded.choice(("GET", "POST")),
@@ -126,7 +126,7 @@
         )
         headers = {
             "x-run-id": request.run_id,
-            "x-work-ms": str(self.seeded.randint(0, self.longest_work_ms)),
+            "x-work-ms": str(self.seeded.randint(0, self.max_work_ms)),
         }
         arguments = {}
         if request.method == "POST":
@@ -149,8 +149,8 @@
 
 
 def _judge(
-    request: Sent, status: int, headers: Mapping[str, str], body: bytes
-) -> Sent:
+    request: SentRequest, status: int, headers: Mapping[str, str], body: bytes
+) -> SentRequest:
     error = headers.get("x-pomelobank-error", "")
     run = headers.get("x-pomelobank-run", "")
     problem = ""
@@ -169,7 +169,9 @@
 
 
 def find_faults(
-    sent: Iterable[Sent], runs: Counter[str], lost_entries: Iterable[str] = ()
+    sent: Iterable[SentRequest],
+    runs: Counter[str],
+    lost_entries: Iterable[str] = (),
 ) -> list[str]:
     """Returns every promise that was broken, empty where all were kept.
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/__init__.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/__init__.py
@@ -1,33 +1,33 @@
 """Loads replayed against the product's decisions, in virtual time."""
 
-from pomelobank_testing.experiment._callers import play
+from pomelobank_testing.experiment._callers import run_pattern
 from pomelobank_testing.experiment._mechanisms import MECHANISMS
 from pomelobank_testing.experiment._outcomes import (
     Outcomes,
     RouteOutcome,
-    worth_bound,
+    max_value_ratio,
 )
 from pomelobank_testing.experiment._patterns import (
     PATTERNS,
     Burst,
+    Fault,
     InnerCalls,
     Pattern,
     RouteLoad,
     TargetGroup,
-    Trouble,
 )
 
 __all__ = [
     "MECHANISMS",
     "PATTERNS",
     "Burst",
+    "Fault",
     "InnerCalls",
     "Outcomes",
     "Pattern",
     "RouteLoad",
     "RouteOutcome",
     "TargetGroup",
-    "Trouble",
-    "play",
-    "worth_bound",
+    "max_value_ratio",
+    "run_pattern",
 ]
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_callers.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_callers.py
@@ -7,7 +7,7 @@
 
 from pomelobank_core import ERROR_RESPONSES, ErrorKind, RunState
 from pomelobank_node._requests import ForwardReply, reply_error
-from pomelobank_node.tests.virtual_time import VirtualTime, run_virtually
+from pomelobank_node.tests.virtual_time import VirtualTime, run_in_virtual_time
 from pomelobank_testing.experiment._mechanisms import ModelNode
 from pomelobank_testing.experiment._mesh import ModelMesh, is_success
 from pomelobank_testing.experiment._outcomes import Outcomes
@@ -32,7 +32,7 @@
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     async def play(self) -> None:
-        departures = asyncio.create_task(self.mesh.play_departures())
+        departures = asyncio.create_task(self.mesh.run_departures())
         routes = [item for item in self.mesh.pattern.routes if item.per_s]
         await asyncio.gather(*(self._arrive(route) for route in routes))
         while self.tasks:
@@ -41,13 +41,13 @@
         await asyncio.gather(departures, return_exceptions=True)
         for target in self.mesh.targets:
             for route, count in target.arrivals.items():
-                self.outcomes.of(route).arrivals += count
+                self.outcomes.for_route(route).arrivals += count
 
     async def _arrive(self, route: RouteLoad) -> None:
         loop = asyncio.get_running_loop()
         # The same callers come at the same moments whatever is switched off.
         seeded = random.Random(f"{self.seed} {route.name}")
-        while loop.time() < self.mesh.pattern.length_s:
+        while loop.time() < self.mesh.pattern.duration_s:
             per_s = route.per_s * self._times(loop.time())
             await asyncio.sleep(seeded.expovariate(per_s))
             entry = seeded.choice(self.mesh.nodes)
@@ -59,7 +59,7 @@
     def _times(self, now_s: float) -> float:
         for burst in self.mesh.pattern.bursts:
             if burst.from_s <= now_s < burst.until_s:
-                return burst.times
+                return burst.rate_factor
         return 1.0
 
     async def _call(
@@ -68,7 +68,7 @@
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
         deadline_s = begun_s + patience * route.deadline_ms / _MS_PER_S
-        for attempt in range(1 + route.returns):
+        for attempt in range(1 + route.max_retries):
             sent_s = loop.time()
             left_ms = (deadline_s - sent_s) * _MS_PER_S
             await asyncio.sleep(_WAY_S)
@@ -77,11 +77,11 @@
             if not self._comes_back(route, reply, attempt):
                 break
             held_ms = (loop.time() - sent_s) * _MS_PER_S
-            self.outcomes.of(route.name).held_ms.append(held_ms)
+            self.outcomes.for_route(route.name).refusal_times_ms.append(held_ms)
             left_s = max(0.0, deadline_s - loop.time())
             pause_s = reply.retry_after_ms / _MS_PER_S
             await asyncio.sleep(min(pause_s, _MOST_PAUSE_PART * left_s))
-        if self.outcomes.counts(begun_s):
+        if self.outcomes.is_measured(begun_s):
             self._count(route, reply, loop.time() - begun_s)
 
     def _comes_back(
@@ -89,18 +89,18 @@
     ) -> bool:
         if is_success(reply):
             return False
-        if attempt >= route.returns:
+        if attempt >= route.max_retries:
             return False
         return route.idempotent or _has_not_run(reply)
 
     def _count(
         self, route: RouteLoad, reply: ForwardReply, took_s: float
     ) -> None:
-        outcome = self.outcomes.of(route.name)
-        outcome.asked += 1
+        outcome = self.outcomes.for_route(route.name)
+        outcome.requests += 1
         if is_success(reply):
             if took_s * _MS_PER_S <= route.aim_ms:
-                outcome.in_aim += 1
+                outcome.within_objective += 1
             else:
                 outcome.past_objective += 1
         elif _has_not_run(reply):
@@ -116,7 +116,7 @@
     return ERROR_RESPONSES[error.kind].run_state is RunState.NOT_RUN
 
 
-def play(
+def run_pattern(
     pattern: Pattern, seed: int, without: frozenset[str] = frozenset()
 ) -> Outcomes:
     """Replays a load once.
@@ -132,5 +132,5 @@
     time = VirtualTime()
     outcomes = Outcomes(pattern)
     mesh = ModelMesh(pattern, time, random.Random(seed), without)
-    run_virtually(time, _Run(mesh, outcomes, seed).play())
+    run_in_virtual_time(time, _Run(mesh, outcomes, seed).play())
     return outcomes
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
@@ -187,7 +187,7 @@
         places = [
             (group, number)
             for group in self.pattern.groups
-            for number in range(len(group.times))
+            for number in range(len(group.work_factors))
         ]
         entries = [
             _entry(group, number, port)
@@ -218,11 +218,11 @@
                 self.seeded, new_budget=self._budget, free_rejections=True
             ),
             hedging=Hedging(),
-            uplink_bytes_per_ms=self.pattern.line_bytes_per_s / _MS_PER_S
+            uplink_bytes_per_ms=self.pattern.link_bytes_per_s / _MS_PER_S
             or math.inf,
         )
         node = ModelNode(own.node, forwarder, owner)
-        self.lines[own.node] = _Line(self.pattern.line_bytes_per_s)
+        self.lines[own.node] = _Line(self.pattern.link_bytes_per_s)
         for name in self.without:
             MECHANISMS[name](node)
         admission = owner.admission_queue.admission
@@ -289,7 +289,7 @@
         except RequestError as error:
             return error_reply(0, error)
 
-    async def play_departures(self) -> None:
+    async def run_departures(self) -> None:
         """Lets targets leave and return as the pattern says."""
         while True:
             for target in self.targets:
@@ -302,7 +302,7 @@
 
     def _show(self, target: ModelTarget) -> None:
         node = self._beside(target.group, target.number)
-        gone = target.is_gone()
+        gone = target.is_removed()
         own = node.forwarder.members.own
         if gone == (own.upstream == ""):
             return
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_patterns.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_patterns.py
@@ -11,14 +11,14 @@
     Attributes:
         route: Route of the calls.
         count: Calls.
-        share: Part of the requests that make them.
-        together: Whether all are made at once; else one after the other.
+        ratio: Part of the requests that make them.
+        parallel: Whether all are made at once; else one after the other.
     """
 
     route: str
     count: int = 1
-    share: float = 1.0
-    together: bool = True
+    ratio: float = 1.0
+    parallel: bool = True
 
 
 @attrs.frozen
@@ -36,10 +36,10 @@
         body_bytes: Size of a request's body.
         answer_bytes: Size of an answer.
         priority: Rank; 0 is the most urgent.
-        worth: Worth of an answer in time.
-        late_worth: Worth of a later one.
+        value: Worth of an answer in time.
+        late_value: Worth of a later one.
         idempotent: Whether it may run more than once.
-        returns: How often a caller comes back after a refusal.
+        max_retries: How often a caller comes back after a refusal.
         calls: Calls that it makes while it runs.
     """
 
@@ -50,10 +50,10 @@
     aim_ms: int = attrs.field(validator=validators.gt(0))
     deadline_ms: int = attrs.field(validator=validators.gt(0))
     priority: int = 2
-    worth: float = 1.0
-    late_worth: float = 0.5
+    value: float = 1.0
+    late_value: float = 0.5
     idempotent: bool = True
-    returns: int = 1
+    max_retries: int = 1
     calls: InnerCalls | None = None
     timeout_ms: int = 0
     body_bytes: int = 0
@@ -66,36 +66,36 @@
 
     Attributes:
         upstream: Their upstream.
-        times: Time that each takes for work, next to the usual one.
+        work_factors: Time that each takes for work, next to the usual one.
         slots: Requests that each runs at once.
     """
 
     upstream: str
-    times: tuple[float, ...]
+    work_factors: tuple[float, ...]
     slots: int = 12
 
 
 @attrs.frozen
-class Trouble:
+class Fault:
     """What happens to targets during the run.
 
     Attributes:
         upstream: Whose targets.
         from_s: When it begins.
         until_s: When it ends.
-        first: Number of targets that it hits; the first of the group.
-        times: Factor on the time of their work.
-        shed: Part of their requests that they turn away unrun.
-        gone: Whether they have left the mesh.
+        target_count: Number of targets that it hits; the first of the group.
+        work_factor: Factor on the time of their work.
+        shed_ratio: Part of their requests that they turn away unrun.
+        removed: Whether they have left the mesh.
     """
 
     upstream: str
     from_s: float
     until_s: float
-    first: int
-    times: float = 1.0
-    shed: float = 0.0
-    gone: bool = False
+    target_count: int
+    work_factor: float = 1.0
+    shed_ratio: float = 0.0
+    removed: bool = False
 
 
 @attrs.frozen
@@ -105,12 +105,12 @@
     Attributes:
         from_s: When it begins.
         until_s: When it ends.
-        times: Factor on the requests a second.
+        rate_factor: Factor on the requests a second.
     """
 
     from_s: float
     until_s: float
-    times: float
+    rate_factor: float
 
 
 @attrs.frozen
@@ -121,19 +121,19 @@
         purpose: What it shows, in a sentence.
         routes: What callers ask for.
         groups: The targets.
-        troubles: What goes wrong.
+        faults: What goes wrong.
         bursts: When more callers come.
-        length_s: How long callers come.
-        line_bytes_per_s: Speed of each node's line, each way; 0 for no bound.
+        duration_s: How long callers come.
+        link_bytes_per_s: Speed of each node's line, each way; 0 for no bound.
     """
 
     purpose: str
     routes: tuple[RouteLoad, ...]
     groups: tuple[TargetGroup, ...]
-    troubles: tuple[Trouble, ...] = ()
+    faults: tuple[Fault, ...] = ()
     bursts: tuple[Burst, ...] = ()
-    length_s: float = 8.0
-    line_bytes_per_s: int = 0
+    duration_s: float = 8.0
+    link_bytes_per_s: int = 0
 
     def route(self, name: str) -> RouteLoad:
         """Returns a route by its name."""
@@ -149,7 +149,7 @@
     work_ms=60,
     aim_ms=200,
     deadline_ms=800,
-    calls=InnerCalls("roster", count=2, share=0.7),
+    calls=InnerCalls("roster", count=2, ratio=0.7),
 )
 _ORDER = RouteLoad(
     "order",
@@ -159,8 +159,8 @@
     aim_ms=250,
     deadline_ms=1000,
     priority=1,
-    worth=2.0,
-    late_worth=1.0,
+    value=2.0,
+    late_value=1.0,
     idempotent=False,
 )
 _RECORD = RouteLoad(
@@ -177,8 +177,8 @@
     aim_ms=60,
     deadline_ms=200,
     priority=1,
-    worth=0.0,
-    returns=0,
+    value=0.0,
+    max_retries=0,
 )
 _ROUTES = (_LOOK_UP, _ORDER, _RECORD, _HISTORY, _ROSTER)
 _GROUPS = (
@@ -194,10 +194,10 @@
     work_ms=120,
     aim_ms=421,
     deadline_ms=3154,
-    late_worth=0.3,
-    returns=2,
+    late_value=0.3,
+    max_retries=2,
     timeout_ms=1500,
-    calls=InnerCalls("status", count=2, share=0.7),
+    calls=InnerCalls("status", count=2, ratio=0.7),
 )
 _REORDER = RouteLoad(
     "reorder",
@@ -208,11 +208,11 @@
     deadline_ms=4309,
     timeout_ms=2000,
     priority=1,
-    worth=2.0,
-    late_worth=0.6,
+    value=2.0,
+    late_value=0.6,
     idempotent=False,
-    returns=2,
-    calls=InnerCalls("detail", count=2, share=0.7, together=False),
+    max_retries=2,
+    calls=InnerCalls("detail", count=2, ratio=0.7, parallel=False),
 )
 _REPORT = RouteLoad(
     "report",
@@ -222,8 +222,8 @@
     aim_ms=821,
     deadline_ms=5129,
     timeout_ms=2500,
-    late_worth=0.3,
-    returns=2,
+    late_value=0.3,
+    max_retries=2,
 )
 _LIST = RouteLoad(
     "list",
@@ -233,8 +233,8 @@
     aim_ms=1217,
     deadline_ms=8112,
     timeout_ms=4000,
-    late_worth=0.3,
-    returns=2,
+    late_value=0.3,
+    max_retries=2,
 )
 _STATUS = RouteLoad(
     "status",
@@ -244,8 +244,8 @@
     aim_ms=137,
     deadline_ms=458,
     priority=1,
-    worth=0.0,
-    returns=0,
+    value=0.0,
+    max_retries=0,
 )
 _DETAIL = attrs.evolve(_STATUS, name="detail", upstream="ledger")
 _CALLING = (_STOCK, _REORDER, _REPORT, _LIST, _STATUS, _DETAIL)
@@ -269,7 +269,7 @@
         "half of one upstream's targets have left for good",
         _busier(1.25),
         _GROUPS,
-        troubles=(Trouble("booking", 0, _ALWAYS, 2, gone=True),),
+        faults=(Fault("booking", 0, _ALWAYS, 2, removed=True),),
     ),
     "burst": Pattern(
         "twice as many callers for three seconds",
@@ -295,21 +295,21 @@
         ),
         _FEW_SLOTS,
         # What callers, membership and configurations leave of 3.5 Mbit/s.
-        line_bytes_per_s=350_000,
+        link_bytes_per_s=350_000,
     ),
     "shedding": Pattern(
         "targets turn half of their requests away unrun",
         _ROUTES,
         _GROUPS,
-        troubles=(Trouble("records", 2.0, 6.0, 4, shed=0.5),),
+        faults=(Fault("records", 2.0, 6.0, 4, shed_ratio=0.5),),
     ),
     "slow": Pattern(
         "one target of each upstream takes six times as long",
         _ROUTES,
         _GROUPS,
-        troubles=(
-            Trouble("booking", 2.0, 6.0, 1, times=6.0),
-            Trouble("records", 2.0, 6.0, 1, times=6.0),
+        faults=(
+            Fault("booking", 2.0, 6.0, 1, work_factor=6.0),
+            Fault("records", 2.0, 6.0, 1, work_factor=6.0),
         ),
     ),
 }
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_target.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_target.py
@@ -9,10 +9,10 @@
 from pomelobank_core import ErrorKind
 from pomelobank_node.platform_api import RequestError, UpstreamResponse
 from pomelobank_testing.experiment._patterns import (
+    Fault,
     Pattern,
     RouteLoad,
     TargetGroup,
-    Trouble,
 )
 
 _MS_PER_S = 1000
@@ -74,12 +74,12 @@
         self, route: RouteLoad, deadline_s: float
     ) -> UpstreamResponse:
         trouble = self._trouble()
-        if trouble and self.seeded.random() < trouble.shed:
+        if trouble and self.seeded.random() < trouble.shed_ratio:
             await asyncio.sleep(_TURNED_AWAY_MS / _MS_PER_S)
             raise RequestError(ErrorKind.TARGET_REFUSED)
         async with self.slots:
-            times = self.group.times[self.number]
-            times *= trouble.times if trouble else 1.0
+            times = self.group.work_factors[self.number]
+            times *= trouble.work_factor if trouble else 1.0
             spread = self.seeded.uniform(1 - _SPREAD, 1 + _SPREAD)
             await asyncio.sleep(route.work_ms * times * spread / _MS_PER_S)
             if await self._calls_succeed(route, deadline_s):
@@ -88,10 +88,10 @@
 
     async def _calls_succeed(self, route: RouteLoad, deadline_s: float) -> bool:
         calls = route.calls
-        if calls is None or self.seeded.random() >= calls.share:
+        if calls is None or self.seeded.random() >= calls.ratio:
             return True
         called = self.pattern.route(calls.route)
-        if calls.together:
+        if calls.parallel:
             answered = await asyncio.gather(
                 *(self.call(called, deadline_s) for _ in range(calls.count))
             )
@@ -101,17 +101,17 @@
                 return False
         return True
 
-    def is_gone(self) -> bool:
+    def is_removed(self) -> bool:
         """Tells whether it has left the mesh."""
         trouble = self._trouble()
-        return trouble is not None and trouble.gone
+        return trouble is not None and trouble.removed
 
-    def _trouble(self) -> Trouble | None:
+    def _trouble(self) -> Fault | None:
         now_s = asyncio.get_running_loop().time()
-        for trouble in self.pattern.troubles:
+        for trouble in self.pattern.faults:
             same = trouble.upstream == self.group.upstream
             lasts = trouble.from_s <= now_s < trouble.until_s
-            if same and lasts and self.number < trouble.first:
+            if same and lasts and self.number < trouble.target_count:
                 return trouble
         return None
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/tests/test_experiment.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/tests/test_experiment.py
@@ -7,8 +7,8 @@
     PATTERNS,
     Outcomes,
     Pattern,
-    play,
-    worth_bound,
+    max_value_ratio,
+    run_pattern,
 )
 
 SEED = 1
@@ -16,30 +16,30 @@
 
 
 def _short(name: str) -> Pattern:
-    return attrs.evolve(PATTERNS[name], length_s=SHORT_S)
+    return attrs.evolve(PATTERNS[name], duration_s=SHORT_S)
 
 
 def _shortage(*without: str) -> Outcomes:
-    return play(_short("shortage"), SEED, frozenset(without))
+    return run_pattern(_short("shortage"), SEED, frozenset(without))
 
 
 def test_a_calm_load_is_served_in_time() -> None:
-    outcomes = play(_short("calm"), SEED)
-    assert outcomes.worth > 0.99
+    outcomes = run_pattern(_short("calm"), SEED)
+    assert outcomes.value_ratio > 0.99
 
 
 def test_runs_of_one_seed_are_the_same() -> None:
-    pattern = attrs.evolve(PATTERNS["shortage"], length_s=2.0)
-    first, second = play(pattern, SEED), play(pattern, SEED)
+    pattern = attrs.evolve(PATTERNS["shortage"], duration_s=2.0)
+    first, second = run_pattern(pattern, SEED), run_pattern(pattern, SEED)
     assert first.by_route == second.by_route
 
 
 def test_the_same_callers_come_whatever_is_switched_off() -> None:
-    pattern = attrs.evolve(PATTERNS["shortage"], length_s=2.0)
-    whole = play(pattern, SEED)
-    part = play(pattern, SEED, frozenset({"hedging", "ranks"}))
+    pattern = attrs.evolve(PATTERNS["shortage"], duration_s=2.0)
+    whole = run_pattern(pattern, SEED)
+    part = run_pattern(pattern, SEED, frozenset({"hedging", "ranks"}))
     for route in ("look-up", "order", "record", "history"):
-        assert whole.of(route).asked == part.of(route).asked
+        assert whole.for_route(route).requests == part.for_route(route).requests
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
 def test_bound_of_what_targets_have_room_for(
     name: str, at_s: float, least: float, most: float
 ) -> None:
-    assert least <= worth_bound(PATTERNS[name], at_s) <= most
+    assert least <= max_value_ratio(PATTERNS[name], at_s) <= most
 
 
 @pytest.mark.parametrize("name", ["shortage", "burst"])
@@ -63,10 +63,13 @@
     Told apart by nothing, both get slots alike, and half of the answers to
     look-ups come too late to be of full use although every slot is busy.
     """
-    known = play(PATTERNS[name], SEED)
-    unknown = play(PATTERNS[name], SEED, frozenset({"patience"}))
-    assert known.of("look-up").in_aim > unknown.of("look-up").in_aim
-    assert known.worth > unknown.worth
+    known = run_pattern(PATTERNS[name], SEED)
+    unknown = run_pattern(PATTERNS[name], SEED, frozenset({"patience"}))
+    assert (
+        known.for_route("look-up").within_objective
+        > unknown.for_route("look-up").within_objective
+    )
+    assert known.value_ratio > unknown.value_ratio
 
 
 @pytest.mark.parametrize("name", ["shortage", "burst"])
@@ -76,20 +79,20 @@
     They are refused after half of their time, and their callers, who could
     have gone elsewhere, have no time left.
     """
-    limited = play(PATTERNS[name], SEED)
-    unlimited = play(PATTERNS[name], SEED, frozenset({"late-limit"}))
+    limited = run_pattern(PATTERNS[name], SEED)
+    unlimited = run_pattern(PATTERNS[name], SEED, frozenset({"late-limit"}))
     aim_ms = limited.pattern.route("look-up").aim_ms
-    late = limited.of("look-up").refused_after(aim_ms)
-    assert limited.of("look-up").held_p95_ms < aim_ms
-    assert late < unlimited.of("look-up").refused_after(aim_ms)
+    late = limited.for_route("look-up").refused_after(aim_ms)
+    assert limited.for_route("look-up").refusal_time_p95_ms < aim_ms
+    assert late < unlimited.for_route("look-up").refused_after(aim_ms)
 
 
 def test_refusals_in_a_burst_come_within_the_objective() -> None:
     """Guards against look-ups that wait past their use and are refused then."""
     for seed in (2, 6, 8):
-        outcome = play(PATTERNS["burst"], seed)
+        outcome = run_pattern(PATTERNS["burst"], seed)
         aim_ms = outcome.pattern.route("look-up").aim_ms
-        assert outcome.of("look-up").held_p95_ms < aim_ms
+        assert outcome.for_route("look-up").refusal_time_p95_ms < aim_ms
 
 
 @pytest.mark.parametrize("seed", [102, 109, 111])
@@ -97,9 +100,11 @@
     seed: int,
 ) -> None:
     """Guards against overtaken requests that stay queued past the objective."""
-    outcome = play(PATTERNS["burst"], seed)
+    outcome = run_pattern(PATTERNS["burst"], seed)
     for route in outcome.pattern.routes:
-        assert outcome.of(route.name).held_p95_ms < route.aim_ms, route.name
+        assert (
+            outcome.for_route(route.name).refusal_time_p95_ms < route.aim_ms
+        ), route.name
 
 
 def test_orders_are_served_through_a_shortage() -> None:
@@ -108,29 +113,34 @@
     What is left has room for all orders and some look-ups. Without ranks,
     orders wait and are refused like look-ups, and customers lose them.
     """
-    order = _shortage().of("order")
-    assert order.in_aim > 0.95 * order.asked
-    unranked = _shortage("ranks").of("order")
-    assert unranked.in_aim < order.in_aim
+    order = _shortage().for_route("order")
+    assert order.within_objective > 0.95 * order.requests
+    unranked = _shortage("ranks").for_route("order")
+    assert unranked.within_objective < order.within_objective
 
 
 def test_running_work_does_not_fail_for_want_of_its_calls() -> None:
     """Guards against calls that are refused while their callers hold slots."""
-    outcomes = play(PATTERNS["calls"], SEED)
-    asked = outcomes.of("reorder").asked
-    assert outcomes.of("reorder").failed < 0.01 * asked
-    assert outcomes.of("stock").in_aim > 0.4 * outcomes.of("stock").asked
+    outcomes = run_pattern(PATTERNS["calls"], SEED)
+    asked = outcomes.for_route("reorder").requests
+    assert outcomes.for_route("reorder").failed < 0.01 * asked
+    assert (
+        outcomes.for_route("stock").within_objective
+        > 0.4 * outcomes.for_route("stock").requests
+    )
 
 
 def test_calls_find_the_first_free_slot_of_several_targets() -> None:
     """Guards against calls that wait for the next slot of one full target."""
-    late = play(PATTERNS["calls"], SEED)
-    early = play(PATTERNS["calls"], SEED, frozenset({"late-binding"}))
-    assert late.worth > early.worth + 0.1
+    late = run_pattern(PATTERNS["calls"], SEED)
+    early = run_pattern(PATTERNS["calls"], SEED, frozenset({"late-binding"}))
+    assert late.value_ratio > early.value_ratio + 0.1
 
 
 def test_thin_lines_are_not_filled_with_bodies_that_are_declined() -> None:
     """Guards against answers and calls that wait behind bodies in the lines."""
-    held_back = play(PATTERNS["thin-lines"], SEED)
-    sent = play(PATTERNS["thin-lines"], SEED, frozenset({"held-back-bodies"}))
-    assert held_back.worth > sent.worth + 0.05
+    held_back = run_pattern(PATTERNS["thin-lines"], SEED)
+    sent = run_pattern(
+        PATTERNS["thin-lines"], SEED, frozenset({"held-back-bodies"})
+    )
+    assert held_back.value_ratio > sent.value_ratio + 0.05
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_chaos.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_chaos.py
@@ -21,4 +21,4 @@
     """
     chaos = await run_chaos(seed, nodes=4, faults=3, callers=4)
     assert chaos.problems == []
-    assert any(sent.answer == "answered" for sent in chaos.sent)
+    assert any(sent.outcome == "answered" for sent in chaos.sent)
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_config_model.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_config_model.py
@@ -24,8 +24,8 @@
 from pomelobank_testing._config_model import (
     Bounds,
     ConfigModel,
-    Rules,
-    World,
+    FunctionsUnderTest,
+    ModelState,
     service_change,
 )
 
@@ -126,7 +126,7 @@
 
 COUNTEREXAMPLES = [
     pytest.param(
-        Rules(advance=out_of_order),
+        FunctionsUnderTest(advance=out_of_order),
         small(),
         "no_node_goes_back",
         [
@@ -139,7 +139,7 @@
         id="push-out-of-order",
     ),
     pytest.param(
-        Rules(advance=forget_change_ids),
+        FunctionsUnderTest(advance=forget_change_ids),
         small(),
         "replay_is_as_specified",
         [
@@ -151,7 +151,7 @@
         id="repeated-change-id",
     ),
     pytest.param(
-        Rules(snapshot=forget_audit),
+        FunctionsUnderTest(snapshot=forget_audit),
         small(snapshots=1),
         "replay_is_as_specified",
         [
@@ -163,7 +163,7 @@
         id="snapshot-without-change-ids",
     ),
     pytest.param(
-        Rules(adopt=take_any_snapshot),
+        FunctionsUnderTest(adopt=take_any_snapshot),
         small(snapshots=1),
         "no_node_goes_back",
         [
@@ -176,7 +176,7 @@
         id="late-snapshot",
     ),
     pytest.param(
-        Rules(ready=serve_at_once),
+        FunctionsUnderTest(ready=serve_at_once),
         small(restarts=1),
         "no_restart_serves_older",
         [
@@ -188,7 +188,7 @@
         id="no-floor",
     ),
     pytest.param(
-        Rules(ready=trust_new_peers),
+        FunctionsUnderTest(ready=trust_new_peers),
         small(restarts=1),
         "no_restart_serves_older",
         [
@@ -205,7 +205,7 @@
     # No guard but a limit: a node that dies within the moment in which its
     # news travels, while the log is down, cannot learn how new it was.
     pytest.param(
-        Rules(told=False),
+        FunctionsUnderTest(announced=False),
         small(restarts=1),
         "no_restart_serves_older",
         [
@@ -224,7 +224,10 @@
     ("rules", "bounds", "invariant", "expected"), COUNTEREXAMPLES
 )
 def test_counterexample_without_a_guard(
-    rules: Rules, bounds: Bounds, invariant: str, expected: list[str]
+    rules: FunctionsUnderTest,
+    bounds: Bounds,
+    invariant: str,
+    expected: list[str],
 ) -> None:
     model = ConfigModel(BLIND, bounds, rules)
     check = model.invariants()[invariant]
@@ -237,7 +240,10 @@
     ("rules", "bounds", "invariant", "expected"), COUNTEREXAMPLES
 )
 def test_the_checker_finds_it(
-    rules: Rules, bounds: Bounds, invariant: str, expected: list[str]
+    rules: FunctionsUnderTest,
+    bounds: Bounds,
+    invariant: str,
+    expected: list[str],
 ) -> None:
     changes = {"x": BLIND["x"]}
     sends = {"x": bounds.sends["x"]}
@@ -250,8 +256,8 @@
     assert len(labels) == len(expected)
 
 
-def walk(model: ConfigModel, labels: list[str]) -> World:
-    world = World()
+def walk(model: ConfigModel, labels: list[str]) -> ModelState:
+    world = ModelState()
     for label in labels:
         world = dict(model.steps(world)).get(label, world)
     return world
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_fleet.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_fleet.py
@@ -127,7 +127,7 @@
     fleet = MemberFleet.of(40)
     drained = fleet.members[address(7)]
     drained.table.update_own(state=DRAINING)
-    fleet.act(address(7), address(7), drained.broadcast_own_entry())
+    fleet.execute(address(7), address(7), drained.broadcast_own_entry())
     fleet.step()
     assert fleet.all_see(node(7), DRAINING)
     fleet.run(MINUTE_MS)
@@ -166,7 +166,7 @@
     fleet = herd(LARGE)
     fleet.run(UNTIL_CALLERS_MS)
     seconds = UNTIL_CALLERS_MS / 1000
-    assert fleet.far_bytes / seconds / LARGE < FAR_BYTES_PER_S
+    assert fleet.remote_bytes / seconds / LARGE < FAR_BYTES_PER_S
 
 
 def test_at_rest_a_node_keeps_few_streams() -> None:
@@ -195,7 +195,7 @@
     fleet = MemberFleet.of(60)
     changed = fleet.members[address(7)]
     changed.table.update_own(state=DRAINING)
-    fleet.act(address(7), address(7), changed.gossip_own_entry())
+    fleet.execute(address(7), address(7), changed.gossip_own_entry())
     fleet.step()
     told = {
         swim.table.own.data_centre
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_sequences.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_sequences.py
@@ -85,7 +85,7 @@
             return
         if swim.table.own.state != DRAINING:
             swim.table.update_own(state=DRAINING)
-            self.fleet.act(address, address, swim.broadcast_own_entry())
+            self.fleet.execute(address, address, swim.broadcast_own_entry())
 
     def calm(self) -> None:
         self.fleet.frozen.clear()
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_membership.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_membership.py
@@ -152,7 +152,7 @@
         north, south = ["n1", "n2"], ["s1", "s2"]
         places = dict.fromkeys(north, "burnie") | dict.fromkeys(south, "hobart")
         await start(mesh, places)
-        mesh.cut("hobart", silent)
+        mesh.partition("hobart", silent)
         await wait_states(mesh, north, dict.fromkeys(south, "gone"))
         await wait_states(mesh, south, dict.fromkeys(north, "gone"))
         await wait_states(mesh, north, dict.fromkeys(north, "ready"))
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_traffic.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_traffic.py
@@ -12,7 +12,7 @@
 
 from pomelobank_testing import TestMesh, UpstreamService
 from pomelobank_testing._traffic import (
-    Sent,
+    SentRequest,
     Traffic,
     count_runs,
     find_faults,
@@ -66,7 +66,7 @@
             SERVICE,
             "/reorders",
             list(entries),
-            longest_work_ms=longest_work_ms,
+            max_work_ms=longest_work_ms,
         )
         traffic.start()
         await traffic.wait_for(40)
@@ -94,7 +94,7 @@
         assert "internal" not in kinds
 
 
-def _number(item: Sent) -> int:
+def _number(item: SentRequest) -> int:
     return int(item.run_id.removeprefix("run-"))
 
 
@@ -112,7 +112,7 @@
         surely_frozen = traffic.numbers
         given_up = traffic.numbers + 3 * traffic.callers
 
-        def told_while_frozen() -> list[Sent]:
+        def told_while_frozen() -> list[SentRequest]:
             return [
                 item
                 for item in traffic.sent
