--- a/packages/pomelobank-core/src/pomelobank_core/_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_admission.py
@@ -61,7 +61,7 @@
         limit: Requests tried at once.
         max_queue_ms: Longest wait that is planned. A queue is for bursts; a
             standing one adds its length to every answer and serves no more.
-        seeded: Source of randomness.
+        rng: Source of randomness.
         service_times: Measured service times.
         running: Requests at the target, by class.
         queues: Waiting requests, by class.
@@ -71,7 +71,7 @@
     policy: AdmissionPolicy
     limit: ConcurrencyLimit
     max_queue_ms: int
-    seeded: random.Random = attrs.field(factory=random.Random)
+    rng: random.Random = attrs.field(factory=random.Random)
     service_times: ServiceTimes = attrs.field(factory=ServiceTimes)
     running: dict[TrafficClass, int] = attrs.field(factory=_per_class)
     queues: dict[TrafficClass, deque[AdmissionRequest]] = attrs.field(
--- a/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
@@ -51,7 +51,7 @@
 
     @property
     @abc.abstractmethod
-    def seeded(self) -> random.Random:
+    def rng(self) -> random.Random:
         """Source of randomness."""
 
     @property
@@ -229,4 +229,4 @@
 
     def _reject(self, kind: ErrorKind, wait_ms: float) -> Rejected:
         self.rejected += 1
-        return rejection(kind, wait_ms, self.seeded)
+        return rejection(kind, wait_ms, self.rng)
--- a/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
@@ -60,7 +60,7 @@
 
     Attributes:
         limit: Requests tried at once.
-        seeded: Source of randomness.
+        rng: Source of randomness.
         service_times: Measured service times.
         rank_load: Slot time that each rank was given lately.
         running: Requests at the target.
@@ -69,7 +69,7 @@
     """
 
     limit: ConcurrencyLimit | SlotLimit
-    seeded: random.Random = attrs.field(factory=random.Random)
+    rng: random.Random = attrs.field(factory=random.Random)
     service_times: RouteTimes = attrs.field(factory=RouteTimes)
     rank_load: RankLoad = attrs.field(factory=RankLoad)
     running: set[AdmissionRequest] = attrs.field(factory=set)
--- a/packages/pomelobank-core/src/pomelobank_core/_distribution.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_distribution.py
@@ -196,7 +196,7 @@
     Attributes:
         settings: Numbers of readers and peers, and times.
         long_poll_ms: Longest time one read of the log waits.
-        seeded: Source of randomness.
+        rng: Source of randomness.
         neighbours: The peers it sends to.
         known_version: Highest version heard of, of any node.
         log_read_ms: When any node last read the log, as far as is known.
@@ -210,7 +210,7 @@
 
     settings: DistributionSettings
     long_poll_ms: int
-    seeded: random.Random
+    rng: random.Random
     neighbours: Neighbours = attrs.field(factory=Neighbours)
     known_version: int = 0
     log_read_ms: int | None = None
@@ -285,7 +285,7 @@
         return age_ms < 0 or age_ms > self.settings.silence_ms
 
     def _fallback_ms(self) -> int:
-        return self.seeded.randint(1, self.settings.fallback_ms)
+        return self.rng.randint(1, self.settings.fallback_ms)
 
     def log_age_ms(self, now_ms: int) -> int:
         """Returns the time since the newest known read; -1 for none."""
@@ -311,7 +311,7 @@
         self.retry_limit_ms = min(2 * limit_ms, MAX_RETRY_MS)
         if not self.neighbours.is_reader:
             limit_ms = max(limit_ms, self.settings.fallback_ms)
-        self.read_due_ms = now_ms + self.seeded.randint(1, limit_ms)
+        self.read_due_ms = now_ms + self.rng.randint(1, limit_ms)
 
     def on_applied(
         self, before: int, version: int, source: str = ""
@@ -348,7 +348,7 @@
             return []
         targets = [*self.neighbours.push_to, *self.neighbours.notify]
         if self.neighbours.remote:
-            targets.append(self.seeded.choice(self.neighbours.remote))
+            targets.append(self.rng.choice(self.neighbours.remote))
         return [SendDigest(address, heartbeat=True) for address in targets]
 
     def on_digest(
--- a/packages/pomelobank-core/src/pomelobank_core/_ejection.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_ejection.py
@@ -61,14 +61,14 @@
         return was_ejected
 
     def on_failure(
-        self, now_ms: float, may_eject: bool, seeded: random.Random
+        self, now_ms: float, may_eject: bool, rng: random.Random
     ) -> bool:
         """Takes a failure.
 
         Args:
             now_ms: Current time.
             may_eject: Whether so few others are out that this one may be.
-            seeded: Source of randomness; spreads the probes of many nodes.
+            rng: Source of randomness; spreads the probes of many nodes.
 
         Returns:
             Whether the target is now out that was in before.
@@ -83,7 +83,7 @@
             return False
         newly = not self.ejected
         pause_ms = min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2**self.pauses)
-        self.until_ms = now_ms + pause_ms * seeded.uniform(0.8, 1.2)
+        self.until_ms = now_ms + pause_ms * rng.uniform(0.8, 1.2)
         self.pauses = min(self.pauses + 1, LONGEST_PAUSE_MS.bit_length())
         return newly
 
--- a/packages/pomelobank-core/src/pomelobank_core/_rejections.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_rejections.py
@@ -10,9 +10,7 @@
 MAX_RETRY_AFTER_MS = 30_000
 
 
-def rejection(
-    kind: ErrorKind, wait_ms: float, seeded: random.Random
-) -> Rejected:
+def rejection(kind: ErrorKind, wait_ms: float, rng: random.Random) -> Rejected:
     """Returns a refusal that spreads the callers' return.
 
     Told the same time, all those refused in one burst would come back as the
@@ -21,8 +19,8 @@
     Args:
         kind: Why the request is refused.
         wait_ms: Time until there is likely to be room.
-        seeded: Source of randomness.
+        rng: Source of randomness.
     """
-    spread_ms = wait_ms * seeded.uniform(1.0, 2.0)
+    spread_ms = wait_ms * rng.uniform(1.0, 2.0)
     within_ms = min(max(spread_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
     return Rejected(kind, int(within_ms))
--- a/packages/pomelobank-core/src/pomelobank_core/_retries.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_retries.py
@@ -120,14 +120,14 @@
     not multiply along a chain of calls.
 
     Attributes:
-        seeded: Source of randomness.
+        rng: Source of randomness.
         new_budget: Makes the budget of an upstream.
         free_rejections: Whether a try that the target's node refused costs
             nothing, because the budget bounds what targets themselves see.
         budgets: Budgets by upstream.
     """
 
-    seeded: random.Random = attrs.field(factory=random.Random)
+    rng: random.Random = attrs.field(factory=random.Random)
     new_budget: Callable[[], Budget] = RetryBudget
     free_rejections: bool = False
     budgets: dict[str, Budget] = attrs.field(factory=dict)
@@ -203,7 +203,7 @@
             return 0.0
         bound_ms = FIRST_DELAY_MS * 2 ** (attempt.attempts - 1)
         bound_ms = min(MAX_DELAY_MS, bound_ms)
-        return MIN_DELAY_MS + self.seeded.uniform(0.0, bound_ms)
+        return MIN_DELAY_MS + self.rng.uniform(0.0, bound_ms)
 
     def _budget(self, upstream: str) -> Budget:
         budget = self.budgets.get(upstream)
--- a/packages/pomelobank-core/src/pomelobank_core/_snapshots.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_snapshots.py
@@ -197,7 +197,7 @@
     Attributes:
         settings: Retention and pause between two nodes' turns.
         node: The node's id.
-        seeded: Source of randomness.
+        rng: Source of randomness.
         as_of: Version of the newest snapshot that is known.
         written_ms: When it was written, on this node's own clock.
         due_ms: When this node's turn comes; None while nothing is due.
@@ -205,7 +205,7 @@
 
     settings: SnapshotSettings
     node: str
-    seeded: random.Random
+    rng: random.Random
     as_of: int = 0
     written_ms: int | None = None
     due_ms: int | None = None
@@ -267,7 +267,7 @@
 
     def on_write_failed(self, now_ms: int) -> None:
         """Puts the next try off after one that the log did not take."""
-        pause_ms = self.seeded.randint(1, 2 * self.settings.rank_delay_ms)
+        pause_ms = self.rng.randint(1, 2 * self.settings.rank_delay_ms)
         self.due_ms = now_ms + pause_ms
 
     def _is_due(self, version: int, now_ms: int) -> bool:
@@ -287,7 +287,7 @@
         # The salt moves the task to another node with every snapshot.
         rank = rank_of(self.node, live, salt=f"snapshot-{self.as_of}")
         step_ms = self.settings.rank_delay_ms
-        return rank * step_ms + self.seeded.randint(0, step_ms // 2)
+        return rank * step_ms + self.rng.randint(0, step_ms // 2)
 
 
 @attrs.frozen
--- a/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
@@ -52,7 +52,7 @@
     queues while targets next door are idle.
 
     Attributes:
-        seeded: Source of randomness.
+        rng: Source of randomness.
         ramp: How fast new targets get their full part.
         loads: Known loads, by node.
         ejections: How often a target was ejected.
@@ -62,7 +62,7 @@
         latency_ratios: How fast answers come, by upstream and data centre.
     """
 
-    seeded: random.Random = attrs.field(factory=random.Random)
+    rng: random.Random = attrs.field(factory=random.Random)
     ramp: Ramp = attrs.field(factory=Ramp)
     loads: dict[str, TargetLoad] = attrs.field(factory=dict)
     ejections: int = 0
@@ -124,7 +124,7 @@
                 entry for entry in targets if self._takes_work(entry, now_ms)
             ]
             wanted = min(len(usable), count - len(found))
-            found += self.seeded.sample(usable, wanted)
+            found += self.rng.sample(usable, wanted)
         return found
 
     def on_sent(self, target: MemberEntry, now_ms: float) -> None:
@@ -275,7 +275,7 @@
         for _ in range(DRAWS):
             if not targets or len(drawn) == _CHOICES:
                 break
-            entry = targets[self.seeded.randrange(len(targets))]
+            entry = targets[self.rng.randrange(len(targets))]
             if entry not in drawn and self._usable(entry, tried, now_ms):
                 drawn.append(entry)
         found = self._least(drawn, traffic_class, now_ms)
@@ -355,7 +355,7 @@
         # Every target that is left is ejected. One of them, drawn at random,
         # is a better bet than a certain error.
         left = [item for item in candidates.targets if item.node not in tried]
-        return self.seeded.choice(left) if left else None
+        return self.rng.choice(left) if left else None
 
     def _failed(
         self, load: TargetLoad, candidates: Candidates, now_ms: float
@@ -365,7 +365,7 @@
             for item in candidates.targets
         )
         allowed = may_eject(out, len(candidates.targets))
-        if load.ejection.on_failure(now_ms, allowed, self.seeded):
+        if load.ejection.on_failure(now_ms, allowed, self.rng):
             self.ejections += 1
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
@@ -126,13 +126,13 @@
         seed: int = 1,
         weights: tuple[int, ...] | None = None,
     ) -> None:
-        seeded = random.Random(seed)
+        rng = random.Random(seed)
         at_ms = from_ms
-        while (at_ms := at_ms + seeded.expovariate(per_s / 1000)) < until_ms:
+        while (at_ms := at_ms + rng.expovariate(per_s / 1000)) < until_ms:
             call = Call(
                 TrafficClass.INTERACTIVE, at_ms, work_ms, timeout_ms, "r"
             )
-            (entry,) = seeded.choices(self.entries, weights)
+            (entry,) = rng.choices(self.entries, weights)
             self.calls.append(call)
             self.events.schedule(
                 at_ms, lambda c=call, e=entry: self._first(c, e)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
@@ -111,11 +111,11 @@
         self, per_s: float, until_ms: float, seed: int = 1, **arguments: object
     ) -> None:
         """Adds calls at random times, so many a second on average."""
-        seeded = random.Random(seed)
-        at_ms = seeded.expovariate(per_s / 1000)
+        rng = random.Random(seed)
+        at_ms = rng.expovariate(per_s / 1000)
         while at_ms < until_ms:
             self.call(at_ms, **arguments)  # type: ignore[arg-type]
-            at_ms += seeded.expovariate(per_s / 1000)
+            at_ms += rng.expovariate(per_s / 1000)
 
     def outcomes(
         self, traffic_class: TrafficClass | None = None
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_caller_timeouts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_caller_timeouts.py
@@ -11,11 +11,11 @@
 
 def _learnt(back_part: float) -> CallerTimeouts:
     """Returns what is known after a thousand callers, some of them back."""
-    seeded = random.Random(1)
+    rng = random.Random(1)
     patience = CallerTimeouts()
     for _ in range(1000):
-        given_ms = FULL_MS * seeded.uniform(0.85, 1.0)
-        if seeded.random() < back_part:
+        given_ms = FULL_MS * rng.uniform(0.85, 1.0)
+        if rng.random() < back_part:
             given_ms -= 260
         patience.elapsed_ms("stock", round(given_ms))
     return patience
@@ -48,10 +48,10 @@
     Measured against the most patient one, everybody else would seem to have
     come back and nobody would be served first.
     """
-    seeded = random.Random(1)
+    rng = random.Random(1)
     patience = CallerTimeouts()
     for _ in range(2000):
-        given_ms = FULL_MS * (10 if seeded.random() < 0.05 else 1)
+        given_ms = FULL_MS * (10 if rng.random() < 0.05 else 1)
         patience.elapsed_ms("stock", given_ms)
     assert patience.elapsed_ms("stock", FULL_MS) < 0.1 * FULL_MS
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
@@ -53,18 +53,18 @@
     first_come: bool = False
     slots: int = SLOTS
     events: EventQueue = attrs.field(factory=EventQueue)
-    seeded: random.Random = attrs.field(factory=lambda: random.Random(1))
+    rng: random.Random = attrs.field(factory=lambda: random.Random(1))
     outcomes: dict[str, dict[str, int]] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         limit = ConcurrencyLimit(self.slots, current=self.slots, cold=False)
-        self.admission = DeadlineAdmission(limit, self.seeded)
+        self.admission = DeadlineAdmission(limit, self.rng)
         self.work: dict[AdmissionRequest, Work] = {}
         self.refused_after_ms: list[float] = []
 
     def load(self, work: Work, begin_ms: float, end_ms: float) -> None:
         at_ms = begin_ms
-        while (at_ms := at_ms + self.seeded.expovariate(work.per_s) * 1000) < (
+        while (at_ms := at_ms + self.rng.expovariate(work.per_s) * 1000) < (
             end_ms
         ):
             self.events.schedule(at_ms, lambda: self._offer(work))
@@ -89,7 +89,7 @@
 
     def _run(self, ticket: AdmissionRequest) -> None:
         work = self.work[ticket]
-        took_ms = work.work_ms * self.seeded.uniform(0.7, 1.3)
+        took_ms = work.work_ms * self.rng.uniform(0.7, 1.3)
         self.events.schedule(
             self.events.now_ms + took_ms, lambda: self._ended(ticket)
         )
--- a/packages/pomelobank-node/src/pomelobank_node/_config_feed.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_config_feed.py
@@ -54,7 +54,7 @@
         members: The members that the node knows.
         links: Streams to peers.
         clock: Tells the time.
-        seeded: Source of randomness.
+        rng: Source of randomness.
         passed_on: Version up to which peers were told.
         digests_sent: Digests sent, for the metrics.
         pushes_sent: Pushes of records sent, for the metrics.
@@ -74,7 +74,7 @@
     members: MemberTable
     links: PeerLinks
     clock: Clock
-    seeded: random.Random = attrs.field(factory=random.Random)
+    rng: random.Random = attrs.field(factory=random.Random)
     passed_on: int = 0
     digests_sent: int = 0
     pushes_sent: int = 0
@@ -92,13 +92,13 @@
         distribution = self.settings.distribution
         self.reader = LogReader(self.log, self.store)
         self.distribution = Distribution(
-            distribution, self.settings.log.long_poll_ms, self.seeded
+            distribution, self.settings.log.long_poll_ms, self.rng
         )
         self.min_serving_version = MinServingVersion(
             _FLOOR_HEARTBEATS * distribution.heartbeat_ms
         )
         schedule = SnapshotSchedule(
-            self.settings.snapshots, self.settings.node, self.seeded
+            self.settings.snapshots, self.settings.node, self.rng
         )
         self.writer = SnapshotWriter(
             schedule, self.store, self.log, self.members, self.clock
@@ -164,7 +164,7 @@
     def _first_pause_ms(self) -> int:
         # Nodes that start in a herd know no members yet, so each would hold
         # itself for a reader; a short wait lets most of them hear of others.
-        return self.seeded.randint(1, self.settings.distribution.heartbeat_ms)
+        return self.rng.randint(1, self.settings.distribution.heartbeat_ms)
 
     async def _read_once(self, wait_ms: int) -> None:
         try:
@@ -220,7 +220,7 @@
             self._drop_idle_outboxes()
             self._do(self.distribution.heartbeat())
             # Jitter keeps the nodes of a herd from beating in step.
-            await self._sleep(int(heartbeat_ms * self.seeded.uniform(0.8, 1.2)))
+            await self._sleep(int(heartbeat_ms * self.rng.uniform(0.8, 1.2)))
 
     async def _write_snapshots(self) -> None:
         # In a task of its own: a log that does not answer would hold up the
--- a/packages/pomelobank-node/src/pomelobank_node/published/_feed.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_feed.py
@@ -96,7 +96,7 @@
         members: The members that the node knows.
         links: Streams to peers.
         clock: Tells the time.
-        seeded: Source of randomness.
+        rng: Source of randomness.
         position: Place in the source up to which everything is known.
         last_read_ms: When the source was last read, as far as this node knows.
         heard_ms: When another node read the source last.
@@ -121,7 +121,7 @@
     members: MemberTable
     links: PeerLinks
     clock: Clock
-    seeded: random.Random = attrs.field(factory=random.Random)
+    rng: random.Random = attrs.field(factory=random.Random)
     position: int | None = None
     last_read_ms: int = 0
     heard_ms: float = -math.inf
@@ -144,7 +144,7 @@
     def __attrs_post_init__(self) -> None:
         self.order = ReadingOrder(self.members)
         self.publisher = PeerPublisher(
-            self.store, self.members, self.links, self.seeded
+            self.store, self.members, self.links, self.rng
         )
 
     async def start(self) -> None:
@@ -193,7 +193,7 @@
                 self._tell_unread()
                 # Full jitter: nodes that lost the source together would
                 # otherwise come back to it in the same instant.
-                pause_ms = self.seeded.uniform(retry_ms / 2, retry_ms)
+                pause_ms = self.rng.uniform(retry_ms / 2, retry_ms)
                 retry_ms = min(2 * retry_ms, _MAX_RETRY_MS)
                 await asyncio.sleep(pause_ms / _MS_PER_S)
                 continue
--- a/packages/pomelobank-node/src/pomelobank_node/published/_peer_publisher.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_peer_publisher.py
@@ -38,7 +38,7 @@
         store: The configuration in force.
         members: The members that the node knows.
         links: Streams to peers.
-        seeded: Source of randomness.
+        rng: Source of randomness.
         pushes: The document in force, packed, by the version that the
             receiver has. To pack it takes milliseconds, and many may ask for
             it at once.
@@ -47,7 +47,7 @@
     store: PublishedStore
     members: MemberTable
     links: PeerLinks
-    seeded: random.Random
+    rng: random.Random
     pushes: dict[int, DocumentPush] = attrs.field(factory=dict)
     sends: set[asyncio.Task[None]] = attrs.field(factory=set)
 
@@ -97,13 +97,13 @@
         digest = self.digest(read_age_ms, heartbeat=False)
         self.send(told.values(), digest)
         near = self.local_members()
-        pushed = self.seeded.sample(near, min(NEAR_PUSHED, len(near)))
+        pushed = self.rng.sample(near, min(NEAR_PUSHED, len(near)))
         self.send(pushed, self.document_push(previous_version))
 
     def _some_far(self) -> list[MemberEntry]:
         # A relay may have just died, so one more of each data centre is told.
         far = self.remote_members()
-        self.seeded.shuffle(far)
+        self.rng.shuffle(far)
         return list({entry.data_centre: entry for entry in far}.values())
 
     def digest(self, read_age_ms: int, heartbeat: bool) -> VersionDigest:
--- a/packages/pomelobank-node/src/pomelobank_node/published/tests/test_hand_over.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/tests/test_hand_over.py
@@ -48,7 +48,7 @@
 class World:
     """The source, the network and the nodes."""
 
-    seeded: random.Random
+    rng: random.Random
     time: VirtualTime
     nodes: dict[str, int] = attrs.field(factory=lambda: NODES)
     version: int = 1
@@ -109,7 +109,7 @@
 
     async def send(self, frame: WireMessage) -> None:
         asyncio.get_running_loop().call_later(
-            self.world.seeded.uniform(0.001, 0.02), self._arrive, frame
+            self.world.rng.uniform(0.001, 0.02), self._arrive, frame
         )
 
     def _arrive(self, frame: WireMessage) -> None:
@@ -159,7 +159,7 @@
                 incarnation=own.incarnation,
                 version=feed.store.version,
             )
-            world.seeded.choice(feeds).members.merge_versions([told])
+            world.rng.choice(feeds).members.merge_versions([told])
 
 
 async def tend(world: World) -> None:
@@ -167,26 +167,26 @@
     while True:
         for feed in world.feeds.values():
             feed.tick(feed.clock.now_ms())
-            await asyncio.sleep(world.seeded.uniform(0, 1 / len(world.feeds)))
+            await asyncio.sleep(world.rng.uniform(0, 1 / len(world.feeds)))
 
 
 async def trouble(world: World, kinds: list[set[str]]) -> None:
     """The source leaves some nodes out for a while, now these, now those."""
     nodes = [feed.members.own.node for feed in world.feeds.values()]
     while True:
-        await asyncio.sleep(world.seeded.uniform(0, 4))
-        kind = world.seeded.choice(kinds)
+        await asyncio.sleep(world.rng.uniform(0, 4))
+        kind = world.rng.choice(kinds)
         # One node at least is always served.
-        hit = world.seeded.sample(nodes[1:], world.seeded.randint(1, 8))
+        hit = world.rng.sample(nodes[1:], world.rng.randint(1, 8))
         kind.update(hit)
-        await asyncio.sleep(world.seeded.uniform(0.5, 6))
+        await asyncio.sleep(world.rng.uniform(0.5, 6))
         kind.clear()
 
 
 async def check(world: World) -> None:
     """Publishes now and then, and looks whether every node has it in time."""
     while world.time.now_s < LENGTH_S:
-        await asyncio.sleep(world.seeded.uniform(0, 3))
+        await asyncio.sleep(world.rng.uniform(0, 3))
         world.publish()
         wanted = world.version
         await asyncio.sleep(IN_FORCE_S)
--- a/packages/pomelobank-testing/src/pomelobank_testing/_chaos.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_chaos.py
@@ -64,7 +64,7 @@
         mesh: The mesh under test.
         faults: Chooses the faults; nothing else draws from it, so that a seed
             stands for one sequence of faults.
-        seeded: Chooses traffic and changes.
+        rng: Chooses traffic and changes.
         down: Nodes that a fault holds down just now.
         sent: Every sending so far.
         changes: Verdict of every change, by change id.
@@ -75,7 +75,7 @@
 
     mesh: TestMesh
     faults: random.Random
-    seeded: random.Random
+    rng: random.Random
     down: set[str] = attrs.field(factory=set)
     sent: list[SentRequest] = attrs.field(factory=list)
     changes: dict[str, int] = attrs.field(factory=dict)
@@ -98,11 +98,11 @@
             await asyncio.sleep(self.pace_s)
 
     async def _call(self, caller: int) -> None:
-        method = self.seeded.choice(("GET", "POST", "POST"))
+        method = self.rng.choice(("GET", "POST", "POST"))
         run_id = f"{caller}-{uuid.uuid4().hex}"
         key = ""
         sendings = 1
-        if method == "POST" and self.seeded.random() < 1 / 2:
+        if method == "POST" and self.rng.random() < 1 / 2:
             key, sendings = run_id, 3
         for _ in range(sendings):
             sent = SentRequest(run_id, method, key)
@@ -112,7 +112,7 @@
                 return
 
     async def _send(self, sent: SentRequest) -> None:
-        entry = self.seeded.choice(self._listening())
+        entry = self.rng.choice(self._listening())
         headers = {"x-run-id": sent.run_id, "x-work-ms": "5"}
         if sent.key:
             headers["idempotency-key"] = sent.key
@@ -155,10 +155,10 @@
         """Lets two operators change the same route until it is cancelled."""
         while True:
             await asyncio.gather(self._change("ann"), self._change("bob"))
-            await asyncio.sleep(self.seeded.uniform(0.1, 0.5))
+            await asyncio.sleep(self.rng.uniform(0.1, 0.5))
 
     async def _change(self, author: str) -> None:
-        name = self.seeded.choice(self._listening())
+        name = self.rng.choice(self._listening())
         change_id = f"{author}-{uuid.uuid4().hex}"
         address = self.mesh.nodes[name].addresses["operator"]
         try:
@@ -182,7 +182,7 @@
             return None
         edited = pb.ConfigObject()
         edited.CopyFrom(routes[0])
-        edited.route.timeout_ms = ROUTE_TIMEOUT_MS + self.seeded.randrange(100)
+        edited.route.timeout_ms = ROUTE_TIMEOUT_MS + self.rng.randrange(100)
         operation = pb.Operation(
             kind=pb.Operation.PUT,
             object=edited,
--- a/packages/pomelobank-testing/src/pomelobank_testing/_goodput.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_goodput.py
@@ -123,17 +123,17 @@
 
     async def run(self, seconds: float) -> None:
         """Warms up, then measures for a time and waits for the last answer."""
-        seeded = random.Random(1)
+        rng = random.Random(1)
         data = self.work.data()
         begun = time.monotonic()
         due = begun
         while due < begun + _WARM_UP_S + seconds:
-            due += seeded.expovariate(self.rate)
+            due += rng.expovariate(self.rate)
             pause_s = due - time.monotonic()
             if pause_s > 0:
                 await asyncio.sleep(pause_s)
             counts = due >= begun + _WARM_UP_S
-            self._send(seeded.choice(self.addresses), data, counts)
+            self._send(rng.choice(self.addresses), data, counts)
         if self.in_flight:
             await self.quiet.wait()
         for connections in self.idle.values():
--- a/packages/pomelobank-testing/src/pomelobank_testing/_traffic.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_traffic.py
@@ -52,7 +52,7 @@
         entries: Nodes that callers use.
         callers: Number of callers.
         max_work_ms: Longest work of a request.
-        seeded: Source of randomness.
+        rng: Source of randomness.
         sent: Requests that have ended.
         in_flight: Requests that have not.
     """
@@ -63,7 +63,7 @@
     entries: list[str]
     callers: int = 12
     max_work_ms: int = 30
-    seeded: random.Random = attrs.field(factory=lambda: random.Random(1))
+    rng: random.Random = attrs.field(factory=lambda: random.Random(1))
     sent: list[SentRequest] = attrs.field(factory=list)
     in_flight: int = 0
     tasks: list[asyncio.Task[None]] = attrs.field(factory=list)
@@ -121,12 +121,12 @@
         request = SentRequest(
             run_id=f"run-{self.numbers}",
             entry=entry,
-            method=self.seeded.choice(("GET", "POST")),
-            body_bytes=self.seeded.choice((0, 200, 200, 5000)),
+            method=self.rng.choice(("GET", "POST")),
+            body_bytes=self.rng.choice((0, 200, 200, 5000)),
         )
         headers = {
             "x-run-id": request.run_id,
-            "x-work-ms": str(self.seeded.randint(0, self.max_work_ms)),
+            "x-work-ms": str(self.rng.randint(0, self.max_work_ms)),
         }
         arguments = {}
         if request.method == "POST":
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_callers.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_callers.py
@@ -46,12 +46,12 @@
     async def _arrive(self, route: RouteLoad) -> None:
         loop = asyncio.get_running_loop()
         # The same callers come at the same moments whatever is switched off.
-        seeded = random.Random(f"{self.seed} {route.name}")
+        rng = random.Random(f"{self.seed} {route.name}")
         while loop.time() < self.mesh.pattern.duration_s:
             per_s = route.per_s * self._times(loop.time())
-            await asyncio.sleep(seeded.expovariate(per_s))
-            entry = seeded.choice(self.mesh.nodes)
-            patience = seeded.uniform(1 - _IMPATIENCE, 1.0)
+            await asyncio.sleep(rng.expovariate(per_s))
+            entry = rng.choice(self.mesh.nodes)
+            patience = rng.uniform(1 - _IMPATIENCE, 1.0)
             task = loop.create_task(self._call(entry, route, patience))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
@@ -107,7 +107,7 @@
 def _without_late_binding(node: ModelNode) -> None:
     placing = node.forwarder.load_balancer
     assert isinstance(placing, TwoChoices)
-    node.forwarder.load_balancer = _OneQueue(placing.seeded, placing.ramp)
+    node.forwarder.load_balancer = _OneQueue(placing.rng, placing.ramp)
 
 
 def _without_offers(node: ModelNode) -> None:
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
@@ -166,7 +166,7 @@
     Attributes:
         pattern: The load.
         time: The time of the run.
-        seeded: Source of randomness.
+        rng: Source of randomness.
         without: Mechanisms that are switched off.
         nodes: The nodes.
         by_address: The nodes, by address.
@@ -176,7 +176,7 @@
 
     pattern: Pattern
     time: VirtualTime
-    seeded: random.Random
+    rng: random.Random
     without: frozenset[str] = frozenset()
     nodes: list[ModelNode] = attrs.field(factory=list)
     by_address: dict[str, ModelNode] = attrs.field(factory=dict)
@@ -212,10 +212,10 @@
             owner,
             links,
             clock,
-            TwoChoices(self.seeded, Ramp(0.5, 3000)),
+            TwoChoices(self.rng, Ramp(0.5, 3000)),
             retry_header=b"",
             retries=RetryPolicy(
-                self.seeded, new_budget=self._budget, free_rejections=True
+                self.rng, new_budget=self._budget, free_rejections=True
             ),
             hedging=Hedging(),
             uplink_bytes_per_ms=self.pattern.link_bytes_per_s / _MS_PER_S
@@ -229,7 +229,7 @@
         assert isinstance(admission, DeadlineAdmission)
         # Left to its own, it would spread the returns of refused callers
         # differently in each run of the same seed.
-        admission.seeded = self.seeded
+        admission.rng = self.rng
         self.nodes.append(node)
         self.by_address[own.peer_address] = node
 
@@ -250,7 +250,7 @@
             reply = await self.send(node, route, left_ms)
             return is_success(reply)
 
-        target = ModelTarget(self.pattern, group, number, self.seeded, call)
+        target = ModelTarget(self.pattern, group, number, self.rng, call)
         self.targets.append(target)
         node.owner.target = Target(group.upstream, node.name, group.slots)
         node.owner.pool = target  # type: ignore[assignment]
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_target.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_target.py
@@ -30,7 +30,7 @@
         pattern: The load.
         group: The targets that it belongs to.
         number: Its number among them.
-        seeded: Source of randomness.
+        rng: Source of randomness.
         call: Makes a call through the mesh; tells whether it was answered.
         busy: Requests that it runs.
         arrivals: Requests that reached it, by route.
@@ -39,7 +39,7 @@
     pattern: Pattern
     group: TargetGroup
     number: int
-    seeded: random.Random
+    rng: random.Random
     call: Call
     slots: asyncio.Semaphore = attrs.field(init=False)
     arrivals: dict[str, int] = attrs.field(factory=dict)
@@ -74,13 +74,13 @@
         self, route: RouteLoad, deadline_s: float
     ) -> UpstreamResponse:
         trouble = self._trouble()
-        if trouble and self.seeded.random() < trouble.shed_ratio:
+        if trouble and self.rng.random() < trouble.shed_ratio:
             await asyncio.sleep(_TURNED_AWAY_MS / _MS_PER_S)
             raise RequestError(ErrorKind.TARGET_REFUSED)
         async with self.slots:
             times = self.group.work_factors[self.number]
             times *= trouble.work_factor if trouble else 1.0
-            spread = self.seeded.uniform(1 - _SPREAD, 1 + _SPREAD)
+            spread = self.rng.uniform(1 - _SPREAD, 1 + _SPREAD)
             await asyncio.sleep(route.work_ms * times * spread / _MS_PER_S)
             if await self._calls_succeed(route, deadline_s):
                 return UpstreamResponse(200, [], b"")
@@ -88,7 +88,7 @@
 
     async def _calls_succeed(self, route: RouteLoad, deadline_s: float) -> bool:
         calls = route.calls
-        if calls is None or self.seeded.random() >= calls.ratio:
+        if calls is None or self.rng.random() >= calls.ratio:
             return True
         called = self.pattern.route(calls.route)
         if calls.parallel:
