--- a/packages/pomelobank-core/src/pomelobank_core/_candidates.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_candidates.py
@@ -1,4 +1,4 @@
-"""Targets by upstream, prepared once for each change of the members."""
+"""Index of targets by upstream, rebuilt when the members change."""
 
 import attrs
 
@@ -8,13 +8,13 @@
 
 @attrs.frozen
 class Candidates:
-    """The targets of an upstream, in the order of their nodes.
+    """Targets of an upstream, sorted by node.
 
     Attributes:
-        local: Those in the node's own data centre.
-        remote: All others.
-        targets: Every target.
-        max_slots: Slots of the target that has most.
+        local: Targets in the node's own data centre.
+        remote: Targets in other data centres.
+        targets: All targets, local ones first.
+        max_slots: Largest number of slots of any target; 0 without targets.
     """
 
     local: tuple[MemberEntry, ...] = ()
@@ -22,30 +22,30 @@
     targets: tuple[MemberEntry, ...] = attrs.field(init=False)
 
     @targets.default
-    def _every_target(self) -> tuple[MemberEntry, ...]:
+    def _all_targets(self) -> tuple[MemberEntry, ...]:
         return self.local + self.remote
 
     max_slots: int = attrs.field(init=False)
 
     @max_slots.default
-    def _most_slots(self) -> int:
+    def _largest_slots(self) -> int:
         return max((entry.slots for entry in self.targets), default=0)
 
 
 @attrs.define
 class CandidateIndex:
-    """Finds an upstream's targets without a look at every member.
+    """Finds the targets of an upstream without scanning all members.
 
-    With 1,000 members a scan for each request would cost more time than the
-    whole request may. The index is made anew only when a member changed in a
-    way that counts here; a new configuration version of a member does not.
+    With 1,000 members, a scan for each request would take more time than the
+    whole request may take. The index is rebuilt only when the table counts a
+    serving change; a member's new configuration version is not one.
 
     Attributes:
         table: The members.
-        seen: The table's change count that the index was made for.
-        by_upstream: Targets by upstream.
+        seen: Value of the table's `serving_changes` at the last rebuild.
+        by_upstream: Targets by upstream, filled on first use.
         available: Upstreams with at least one target.
-        builds: How often the index was made.
+        builds: Number of rebuilds.
     """
 
     table: MemberTable
@@ -63,7 +63,7 @@
         return found
 
     def available_upstreams(self) -> frozenset[str]:
-        """Returns the upstreams with at least one target to send work to."""
+        """Returns the upstreams with at least one target for requests."""
         self._refresh()
         return self.available
 
@@ -81,6 +81,6 @@
         remote: list[MemberEntry] = []
         entries = self.table.ready_for(upstream)
         for entry in sorted(entries, key=lambda item: item.node):
-            near = entry.data_centre == own_data_centre
-            (local if near else remote).append(entry)
+            is_local = entry.data_centre == own_data_centre
+            (local if is_local else remote).append(entry)
         return Candidates(tuple(local), tuple(remote))
--- a/packages/pomelobank-core/src/pomelobank_core/_ejection.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_ejection.py
@@ -1,36 +1,38 @@
-"""Takes a target out of placing while requests to it keep failing."""
+"""Ejection: a target with consecutive failures gets no requests for a while."""
 
 import random
 
 import attrs
 
-# One lost connection happens to every target that restarts; three in a row
-# without an answer between them do not happen to one that works.
+# Consecutive failures that eject a target. Every target that restarts loses one
+# connection; a healthy target does not lose three without a response between
+# them.
 FAILURES_TO_EJECT = 3
-# The first pause outlasts a restart's refused connections; doubling it keeps a
-# target that is gone for long to one probe in half a minute.
+# The first pause is longer than the time for which a restarting target refuses
+# connections. The pause doubles with every further failure, so that a target
+# that stays down gets only one probe in 30 s.
 FIRST_PAUSE_MS = 1000
 LONGEST_PAUSE_MS = 30_000
-# At most this part of an upstream's targets is out at once. When everything
-# fails, the fault is rarely in the targets, and sending all requests to the
-# last few that have not failed yet would overload those as well.
+# Maximum fraction of an upstream's targets that are ejected at once. When all
+# targets fail, the targets are rarely the cause, and sending all requests to
+# the last few targets that have not failed yet would overload these as well.
 EJECTED_PART = 0.5
 
 
 @attrs.define
 class Ejection:
-    """What one node has seen fail at one target.
+    """Failures and ejection of one target, as seen by one node.
 
-    Made for a target that is dead, cut off or broken while its membership
-    entry still says that it is ready. Without it, its part of all requests
-    fails until the other members notice. One notices by errors that all name
-    the same target.
+    This handles a target that is dead, unreachable or broken while its
+    membership entry is still `ready`. Without ejection, the target's share of
+    all requests fails until membership marks its node as failed; the symptom is
+    that all errors name the same target.
 
     Attributes:
-        failures: Failures since the last answer.
-        until_ms: When the pause ends; 0 while the target is in use.
-        pauses: Pauses since the last answer.
-        probing: Whether the one request that probes it is under way.
+        failures: Failures since the last response.
+        until_ms: End of the pause; 0 while the target is not ejected.
+        pauses: Pauses since the last response.
+        probing: Whether the single probe request is in flight.
     """
 
     failures: int = 0
@@ -40,22 +42,22 @@
 
     @property
     def ejected(self) -> bool:
-        """Whether the target is out, or back for a probe only."""
+        """Whether the target gets no requests, or only a single probe."""
         return self.until_ms > 0
 
     def allows(self, now_ms: float) -> bool:
-        """Tells whether a request may be sent there."""
+        """Returns whether a request may be sent to the target."""
         if not self.ejected:
             return True
         return now_ms >= self.until_ms and not self.probing
 
     def on_sent(self) -> None:
-        """Notes that a request is sent there."""
+        """Records that a request is sent to the target."""
         if self.ejected:
             self.probing = True
 
     def on_success(self) -> bool:
-        """Takes an answer; returns whether this ended an ejection."""
+        """Records a response; returns whether it ended an ejection."""
         was_ejected = self.ejected
         self.clear()
         return was_ejected
@@ -63,15 +65,15 @@
     def on_failure(
         self, now_ms: float, may_eject: bool, rng: random.Random
     ) -> bool:
-        """Takes a failure.
+        """Records a failed request.
 
         Args:
             now_ms: Current time.
-            may_eject: Whether so few others are out that this one may be.
+            may_eject: Whether the limit of ejected targets allows one more.
             rng: Source of randomness; spreads the probes of many nodes.
 
         Returns:
-            Whether the target is now out that was in before.
+            Whether this failure ejected a target that was not ejected before.
         """
         self.failures += 1
         self.probing = False
@@ -81,18 +83,18 @@
             return False
         if not self.ejected and not may_eject:
             return False
-        newly = not self.ejected
+        newly_ejected = not self.ejected
         pause_ms = min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2**self.pauses)
         self.until_ms = now_ms + pause_ms * rng.uniform(0.8, 1.2)
         self.pauses = min(self.pauses + 1, LONGEST_PAUSE_MS.bit_length())
-        return newly
+        return newly_ejected
 
     def on_abandoned(self) -> None:
-        """Takes the end of a request that tells nothing about the target."""
+        """Records the end of a request without a result for the target."""
         self.probing = False
 
     def clear(self) -> None:
-        """Takes the target back without reserve."""
+        """Ends the ejection and resets all counts."""
         self.failures = 0
         self.until_ms = 0.0
         self.pauses = 0
@@ -100,11 +102,11 @@
 
 
 def may_eject(ejected: int, targets: int) -> bool:
-    """Tells whether one more target may be taken out.
+    """Returns whether one more target may be ejected.
 
     Args:
-        ejected: Targets of the upstream that are out.
-        targets: All its targets.
+        ejected: Number of ejected targets of the upstream.
+        targets: Number of all targets of the upstream.
 
     >>> may_eject(0, 1), may_eject(1, 4), may_eject(2, 4)
     (False, True, False)
--- a/packages/pomelobank-core/src/pomelobank_core/_latency_ratio.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_latency_ratio.py
@@ -1,39 +1,39 @@
-"""How fast answers come, next to the time in which they are of full use."""
+"""Latency ratio: response time divided by the latency objective."""
 
 import attrs
 
 from pomelobank_core._route_times import RouteTimes
 
-# Share of a new sample. Times of one route vary by two thirds of their mean;
-# averaged like this they vary by a fifth, and a target that turns slow shows
-# within five answers.
+# Weight of a new sample in the moving average. Response times of one route vary
+# by two thirds of their mean; their average varies by a fifth, and a target
+# that becomes slow is recognised within five responses.
 SAMPLE_WEIGHT = 0.2
-# Age at which a measured pace says nothing any more. A queue of work that takes
-# half a second is gone by then, and the target is worth another try.
+# Age at which a measured ratio is ignored. A queue of requests that take half a
+# second each is empty by then, so that the target should get requests again.
 KNOWN_MS = 5000.0
-# Pace of a target about which nothing is known: aims of the users' routes are
-# three times the usual time.
+# Ratio assumed for a target without measurements: latency objectives of the
+# users' routes are three times the expected response time.
 DEFAULT_LATENCY_RATIO = 1 / 3
 
 
 @attrs.define
 class LatencyRatio:
-    """Recent time to an answer as a part of its objective.
+    """Moving average of response times divided by their latency objectives.
 
-    One target answers look-ups, reports and calls of other services. A plain
-    average of their times says more about their mixture than about the target;
-    as parts of their objectives they can be compared and averaged.
+    One target responds to look-ups, reports and calls of other services. A
+    plain average of their response times depends more on the mix of requests
+    than on the target. Ratios to the objectives can be compared and averaged.
 
     Attributes:
-        value: The average; 1 is an answer at its objective.
-        at_ms: When it was measured last; None before the first.
+        value: The average; 1 means that a response took its whole objective.
+        at_ms: Time of the last sample; None before the first.
     """
 
     value: float = DEFAULT_LATENCY_RATIO
     at_ms: float | None = None
 
     def add(self, sample: float, now_ms: float) -> None:
-        """Takes a sample."""
+        """Adds a sample to the average."""
         if self.at_ms is None:
             self.value = sample
         self.value += SAMPLE_WEIGHT * (sample - self.value)
@@ -42,31 +42,32 @@
     def at(
         self, now_ms: float, otherwise: float = DEFAULT_LATENCY_RATIO
     ) -> float:
-        """Returns the pace; the older it is, the nearer to another estimate.
+        """Returns the ratio, which approaches another estimate with its age.
 
-        Without that, a target once found slow would get nothing, so nothing
-        would be measured, and it would stay out for good.
+        Without the ageing, a target that was slow once would get no requests,
+        so that no new sample would be measured and the target would never get
+        requests again.
 
         >>> LatencyRatio(value=1.0, at_ms=0).at(2500, otherwise=0.5)
         0.75
 
         Args:
             now_ms: Current time.
-            otherwise: What holds where nothing was measured lately.
+            otherwise: Estimate used when the last sample is too old.
         """
         if self.at_ms is None:
             return otherwise
-        part = max(0.0, 1 - (now_ms - self.at_ms) / KNOWN_MS)
-        return otherwise + part * (self.value - otherwise)
+        weight = max(0.0, 1 - (now_ms - self.at_ms) / KNOWN_MS)
+        return otherwise + weight * (self.value - otherwise)
 
 
 @attrs.define
 class Objectives:
-    """Knows the time in which a route's answer is of full use.
+    """Computes latency ratios, also for routes without an objective.
 
     Attributes:
-        response_times: Usual times of routes that name no objective, by data
-            centre.
+        response_times: Expected response times of routes without an objective,
+            by data centre.
     """
 
     response_times: dict[str, RouteTimes] = attrs.field(factory=dict)
@@ -75,29 +76,29 @@
         self,
         route: str,
         aim_ms: float,
-        centre: str,
+        data_centre: str,
         took_ms: float,
         now_ms: float,
     ) -> float:
-        """Returns the part of its objective that an answer took.
+        """Returns the response time divided by the route's objective.
 
         Args:
             route: The request's route.
-            aim_ms: The route's objective; 0 without one.
-            centre: The data centre that the answer came from.
-            took_ms: Time to the answer.
+            aim_ms: The route's latency objective; 0 without one.
+            data_centre: Data centre of the target that responded.
+            took_ms: The response time.
             now_ms: Current time.
         """
         if aim_ms:
             return took_ms / aim_ms
-        self.response_times.setdefault(centre, RouteTimes()).add(
+        self.response_times.setdefault(data_centre, RouteTimes()).add(
             route, took_ms, now_ms
         )
-        # Where it is fastest: next to its own average, a slow data centre
-        # would look like any other.
+        # The reference is the fastest data centre. Compared with its own
+        # average, a slow data centre would have the same ratio as any other.
         fastest_ms = min(
-            work.expected_ms(route, now_ms)
-            for work in self.response_times.values()
-            if route in work.by_route
+            times.expected_ms(route, now_ms)
+            for times in self.response_times.values()
+            if route in times.by_route
         )
         return DEFAULT_LATENCY_RATIO * took_ms / max(1.0, fastest_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/_load_balancer.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_load_balancer.py
@@ -1,4 +1,4 @@
-"""What placing is told about targets, and what it must be able to do."""
+"""Interface of load balancers and the request outcomes given to them."""
 
 import enum
 from collections.abc import Set as AbstractSet
@@ -12,16 +12,20 @@
 
 
 class TargetResult(enum.Enum):
-    """What a request's end says about the target.
+    """Result of a request from the view of the target's health and load.
 
     Attributes:
-        RESPONDED: It works.
-        FULL: It has no room just now.
-        WOULD_WAIT: A request would wait there longer than it was offered to.
-        NOT_ACCEPTING: It takes no more requests.
-        SLOW: It has not answered within a multiple of the usual time.
-        FAILED: It could not be reached, or it was lost on the way.
-        NEUTRAL: Nothing; the caller went away or the request was wrong.
+        RESPONDED: The target responded.
+        FULL: The target has no free slot at present.
+        WOULD_WAIT: The request would wait at the target longer than the entry
+            node allowed.
+        NOT_ACCEPTING: The target accepts no more requests.
+        SLOW: The target has not responded within a multiple of the expected
+            time.
+        FAILED: The target could not be reached, or the connection to it was
+            lost.
+        NEUTRAL: The result says nothing about the target, because the caller
+            cancelled the request or the request was invalid.
     """
 
     RESPONDED = "answered"
@@ -46,20 +50,21 @@
     ErrorKind.UPSTREAM_LOST: TargetResult.FAILED,
     ErrorKind.ANSWER_TRUNCATED: TargetResult.FAILED,
 }
-# A deadline that passes at the target counts against it only where it had this
-# long; a caller in a hurry would else get healthy targets ejected.
+# Minimum time that a target must have had for a request before a passed
+# deadline counts as the target's failure. Otherwise, callers with short
+# deadlines would cause ejections of healthy targets.
 MIN_DEADLINE_FAILURE_MS = 1000
 
 
 def target_result(error: ErrorKind, allowed_ms: float) -> TargetResult:
-    """Returns what an error says about the target.
+    """Maps the error of a request to a result for the target.
 
     Args:
-        error: How the request ended.
-        allowed_ms: Time that the target had for it.
+        error: The error that ended the request.
+        allowed_ms: Time that the target had for the request.
 
     Returns:
-        The result.
+        The result; NEUTRAL for an error that the target did not cause.
     """
     if error is ErrorKind.DEADLINE_UNKNOWN:
         long_enough = allowed_ms >= MIN_DEADLINE_FAILURE_MS
@@ -69,16 +74,16 @@
 
 @attrs.frozen
 class RequestOutcome:
-    """The end of a request, as placing sees it.
+    """Outcome of a request, as reported to the load balancer.
 
     Attributes:
-        result: What it says about the target.
+        result: Result for the target.
         traffic_class: The request's class.
-        took_ms: Time from sending to the end.
+        took_ms: Time from sending the request to its end.
         outstanding: Requests at the target as its node reported them.
-        retry_after_ms: When a full target expects to have room.
+        retry_after_ms: Time until a full target expects a free slot.
         route: The request's route.
-        aim_ms: Time within which its answer is of full use; 0 if not named.
+        aim_ms: The route's latency objective; 0 without one.
     """
 
     result: TargetResult
@@ -91,45 +96,45 @@
 
 
 class LoadBalancer(Protocol):
-    """Chooses targets and learns from what becomes of the requests."""
+    """Picks targets and learns from the outcomes of requests."""
 
     def pick(
         self,
         candidates: Candidates,
-        tried: AbstractSet[str],
+        attempted: AbstractSet[str],
         traffic_class: str,
         now_ms: float,
     ) -> MemberEntry | None:
-        """Returns a target that was not tried yet, None without any."""
+        """Returns a target that was not attempted yet, None without any."""
 
     def pick_several(
         self, candidates: Candidates, count: int, now_ms: float
     ) -> list[MemberEntry]:
-        """Returns targets for a request that waits at several of them."""
+        """Returns targets for a request that queues at several of them."""
 
     def on_sent(self, target: MemberEntry, now_ms: float) -> None:
-        """Notes that a request is sent to a target."""
+        """Records that a request is sent to a target."""
 
     def on_ended(
         self,
         target: MemberEntry,
         candidates: Candidates,
-        seen: RequestOutcome,
+        outcome: RequestOutcome,
         now_ms: float,
     ) -> None:
-        """Takes the end of a request that was sent."""
+        """Records the outcome of a request that was sent."""
 
     def has_capacity(
         self, target: MemberEntry, traffic_class: str, now_ms: float
     ) -> bool:
-        """Tells whether a target plausibly has room for one more request."""
+        """Returns whether a target probably has a free slot for a request."""
 
     def may_accept(
         self, target: MemberEntry, traffic_class: str, now_ms: float
     ) -> bool:
-        """Tells whether a target works and has not refused the class lately."""
+        """Returns whether a target is not ejected and did not just refuse."""
 
     def all_full_retry_after_ms(
         self, candidates: Candidates, traffic_class: str, now_ms: float
     ) -> int:
-        """Returns when to come back if all are full; 0 if they are not."""
+        """Returns the retry delay if all targets are full; 0 otherwise."""
--- a/packages/pomelobank-core/src/pomelobank_core/_round_robin.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_round_robin.py
@@ -1,4 +1,4 @@
-"""Placing in turn, the baseline."""
+"""Round-robin load balancing, kept as a baseline."""
 
 from collections.abc import Set as AbstractSet
 
@@ -11,12 +11,12 @@
 
 @attrs.define
 class RoundRobin:
-    """Takes the targets of an upstream in turn.
+    """Load balancer that picks the targets of an upstream in turn.
 
-    Kept as the baseline that better placing is measured against.
+    Other load balancers are measured against this baseline.
 
     Attributes:
-        turns: How many requests each upstream was given.
+        turns: Number of picks for each upstream.
     """
 
     turns: dict[str, int] = attrs.field(factory=dict)
@@ -24,53 +24,53 @@
     def pick(
         self,
         candidates: Candidates,
-        tried: AbstractSet[str],
+        attempted: AbstractSet[str],
         traffic_class: str,
         now_ms: float,
     ) -> MemberEntry | None:
-        """Returns the next target in turn, None where there is no candidate."""
-        untried = [
-            item for item in candidates.targets if item.node not in tried
+        """Returns the next target in turn, None without any."""
+        remaining = [
+            item for item in candidates.targets if item.node not in attempted
         ]
-        if not untried:
+        if not remaining:
             return None
-        upstream = untried[0].upstream
+        upstream = remaining[0].upstream
         turn = self.turns.get(upstream, 0)
         self.turns[upstream] = turn + 1
-        return untried[turn % len(untried)]
+        return remaining[turn % len(remaining)]
 
     def pick_several(
         self, candidates: Candidates, count: int, now_ms: float
     ) -> list[MemberEntry]:
-        """Returns the first targets, whatever their load."""
+        """Returns the first targets; round-robin ignores load."""
         return list(candidates.targets[:count])
 
     def on_sent(self, target: MemberEntry, now_ms: float) -> None:
-        """Does nothing; the turn does not depend on it."""
+        """Does nothing; the order does not depend on requests in flight."""
 
     def on_ended(
         self,
         target: MemberEntry,
         candidates: Candidates,
-        seen: RequestOutcome,
+        outcome: RequestOutcome,
         now_ms: float,
     ) -> None:
-        """Does nothing; the turn does not depend on it."""
+        """Does nothing; the order does not depend on outcomes."""
 
     def has_capacity(
         self, target: MemberEntry, traffic_class: str, now_ms: float
     ) -> bool:
-        """Returns True; round-robin knows no load."""
+        """Returns True; round-robin ignores load."""
         return True
 
     def may_accept(
         self, target: MemberEntry, traffic_class: str, now_ms: float
     ) -> bool:
-        """Returns True; it knows of no refusals."""
+        """Returns True; round-robin ignores refusals."""
         return True
 
     def all_full_retry_after_ms(
         self, candidates: Candidates, traffic_class: str, now_ms: float
     ) -> int:
-        """Returns 0; round-robin knows no load."""
+        """Returns 0; round-robin ignores load."""
         return 0
--- a/packages/pomelobank-core/src/pomelobank_core/_target_load.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_target_load.py
@@ -1,4 +1,4 @@
-"""What a node knows of the load of one target."""
+"""Load of one target as estimated by one node."""
 
 import math
 
@@ -7,23 +7,27 @@
 from pomelobank_core._ejection import Ejection
 from pomelobank_core._latency_ratio import LatencyRatio
 
-# What a target's node said of its load half a second ago says nothing now: at
-# 20 slots and 10 ms a request it has served a thousand since.
+# Age at which a target node's load report is ignored. At 20 slots and 10 ms a
+# request, the target has served a thousand requests within 500 ms.
 REPORT_LIFE_MS = 500
-# A target that is new or comes back gets its full part after ten seconds: long
-# enough for the cold starts of most services, short against a rush.
+# Time until a new or returned target gets its full share of requests. Ten
+# seconds cover the cold start of most services and are short compared with a
+# load peak.
 RAMP_MS = 10_000
+# Fraction of its slots that a new or returned target gets at once.
 RAMP_START = 0.1
 
 
 @attrs.frozen
 class FullHint:
-    """What a target's refusal of one class tells.
+    """A target's refusal of one traffic class.
 
     Attributes:
-        at_ms: When it came.
-        until_ms: Until when the target is held to be full.
-        retry_after_ms: When it expected to have room, counted from then.
+        at_ms: Time of the refusal; minus infinity if the target only would
+            have queued the request longer than the entry node allowed.
+        until_ms: Time until which the target counts as full.
+        retry_after_ms: Time from the refusal until the target expects a free
+            slot.
     """
 
     at_ms: float
@@ -33,18 +37,18 @@
 
 @attrs.frozen
 class Ramp:
-    """How fast a target that is new gets its full part of the work.
+    """Slow start: increases the share of requests of a new target.
 
     Attributes:
-        start_fraction: Part of its slots at once.
-        length_ms: Time until it gets all of them.
+        start_fraction: Fraction of the target's slots in use at the start.
+        length_ms: Time until all slots are in use.
     """
 
     start_fraction: float = RAMP_START
     length_ms: float = RAMP_MS
 
     def fraction(self, age_ms: float) -> float:
-        """Returns the part of its slots that it is trusted with.
+        """Returns the fraction of a target's slots in use at an age.
 
         >>> Ramp(start_fraction=0.1, length_ms=1000).fraction(500)
         0.5
@@ -54,21 +58,22 @@
 
 @attrs.define(eq=False)
 class TargetLoad:
-    """What this node knows of one target's load.
+    """Estimated load of one target, as seen by this node.
 
     Attributes:
-        incarnation: Incarnation of its node that this is about.
-        own_requests: Requests of this node that are there.
-        other_requests: Requests of other nodes that were there at the last
-            report.
-        reported_ms: When that was.
-        latency_ratio: Recent time to an answer, as a part of the objective.
-        full_hints: Its last refusal of each class; batch work that finds no
-            room says nothing about the slots kept for look-ups.
-        not_accepting_until_ms: Until when it is held to take no more requests.
-        ramp_from_ms: When it came, or came back.
-        ramp: How fast it gets its full part then.
-        ejection: What failed there.
+        incarnation: Incarnation of the target's node that this load is of.
+        own_requests: This node's requests in flight at the target.
+        other_requests: Other nodes' requests at the target at the last report.
+        reported_ms: Time of that report.
+        latency_ratio: Recent response time divided by the latency objective.
+        full_hints: The target's last refusal of each class. Classes are kept
+            apart because a refused batch request says nothing about the slots
+            reserved for interactive requests.
+        not_accepting_until_ms: Time until which the target counts as accepting
+            no requests.
+        ramp_from_ms: Time at which the target joined or returned.
+        ramp: Slow start of the target from that time on.
+        ejection: Recent failures of the target.
     """
 
     incarnation: int
@@ -83,29 +88,32 @@
     ejection: Ejection = attrs.field(factory=Ejection)
 
     def estimated_requests(self, now_ms: float) -> float:
-        """Returns the requests that are probably there; reports fade."""
+        """Returns the estimated requests at the target.
+
+        The weight of the last report falls to 0 within `REPORT_LIFE_MS`.
+        """
         age_ms = now_ms - self.reported_ms
-        fresh = max(0.0, 1.0 - age_ms / REPORT_LIFE_MS)
-        return self.own_requests + self.other_requests * fresh
+        weight = max(0.0, 1.0 - age_ms / REPORT_LIFE_MS)
+        return self.own_requests + self.other_requests * weight
 
     def is_full(self, traffic_class: str, now_ms: float) -> bool:
-        """Tells whether it refused a class lately, or takes nothing more."""
+        """Returns whether the target refused a class or accepts no requests."""
         if now_ms < self.not_accepting_until_ms:
             return True
         hint = self.full_hints.get(traffic_class)
         return hint is not None and now_ms < hint.until_ms
 
     def usable_slots(self, slots: int, now_ms: float) -> float:
-        """Returns the slots that it is trusted with after its start."""
+        """Returns the slots that the ramp allows; at least 1."""
         return max(1.0, slots * self.ramp.fraction(now_ms - self.ramp_from_ms))
 
-    def cost(self, slots: int, pace: float, now_ms: float) -> float:
-        """Returns how unattractive it is.
+    def cost(self, slots: int, latency_ratio: float, now_ms: float) -> float:
+        """Returns the cost of sending a request to the target; lower is better.
 
-        Of a target that many nodes use, each node knows a small part of the
-        load only; its pace tells the rest.
+        When many nodes use a target, each node sees only a small part of the
+        load. The latency ratio shows the load caused by the other nodes.
         """
         used = (self.estimated_requests(now_ms) + 1) / self.usable_slots(
             slots, now_ms
         )
-        return used * pace
+        return used * latency_ratio
--- a/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
@@ -1,4 +1,4 @@
-"""Chooses the target that runs a request."""
+"""Load balancing: picks the target that a request is sent to."""
 
 import math
 import random
@@ -19,47 +19,55 @@
 from pomelobank_core._target_load import FullHint, Ramp, TargetLoad
 from pomelobank_schema.generated.peer import MemberEntry
 
-# A refusal for want of room keeps requests away this long at most, because a
-# queue of 200 ms is gone by then and nothing else would end the hint.
+# Maximum time for which a target counts as full after it refused a request. A
+# queue of 200 ms is empty by then, and no other event ends the hint.
 FULL_HINT_MS = 250
-# When every target has refused a class within this time, the entry refuses it
-# too and saves the way there. A queue of 200 ms does not run empty meanwhile.
+# When every target has refused a class within this time, the entry node also
+# refuses the class and saves the round trip. A queue of 200 ms does not become
+# empty within 20 ms.
 JUST_REFUSED_MS = 20
-# A target that drains is kept out until its membership entry must have come.
+# Time for which a target that drains gets no requests. By then, its draining
+# membership entry must have arrived.
 LEAVING_HINT_MS = 5000
-# Work leaves the data centre when that saves this part of the objective of its
-# answer: a third of a relaxed answer's time. Targets differ in speed by half;
-# with less, this difference alone would move work, and its bytes, to and fro.
+# A request leaves the data centre when the latency ratio (response time divided
+# by latency objective) is lower in the remote one by more than this: a third of
+# the ratio of an unloaded target. Targets differ in speed by half; with a lower
+# threshold, this difference alone would move requests, and their bytes, back
+# and forth between data centres.
 FAR_PART = 0.12
-# Chances to draw a target that may be used before all are looked at.
+# Maximum random draws in search of two usable targets. If the drawn targets are
+# unusable or full, all targets are compared.
 DRAWS = 4
-_CHOICES = 2
+_COMPARED_TARGETS = 2
 
 
 @attrs.define(eq=False)
 class TwoChoices:
-    """Draws two targets and takes the one with less to do.
+    """Load balancer that draws two random targets and picks the cheaper one.
 
-    Made for demand that is skewed and for one target that is slow. Taking
-    turns gives the slow one its full part, and callers of one in n requests
-    wait; taking the least loaded of all sends every node's next request to
-    the same target at once. Two random draws avoid both.
+    This handles skewed demand and a single slow target. Round-robin sends a
+    slow target its full share, so that one in n requests waits there. Always
+    picking the least loaded target makes every node send its next request to
+    the same target at once. Comparing two random targets avoids both.
 
-    Targets of the own data centre come first; work spills to others when the
-    better draw there is full or slower by more than the way is worth. Upstreams
-    are not spread evenly: one data centre may have the slow machines or most of
-    the callers. Where only a full target sends work away, callers there wait in
-    queues while targets next door are idle.
+    Targets in the node's own data centre are preferred. A request overflows to
+    a remote data centre when the picked local target is full and the remote one
+    is not or costs less, or when the remote target's latency ratio is lower by
+    more than `FAR_PART`. Upstreams are not spread evenly: one data centre may
+    have the slow machines or most of the callers. If only a full local target
+    caused overflow, callers in such a data centre would wait in queues while
+    remote targets are idle.
 
     Attributes:
         rng: Source of randomness.
-        ramp: How fast new targets get their full part.
-        loads: Known loads, by node.
-        ejections: How often a target was ejected.
-        overflows: Requests that left the data centre though it has a target.
-        known: Targets of each upstream at its last placing.
-        objectives: Tells how fast an answer was.
-        latency_ratios: How fast answers come, by upstream and data centre.
+        ramp: How fast a new target gets its full share of requests.
+        loads: Known load of each target, by node.
+        ejections: Number of ejections of targets.
+        overflows: Requests sent to a remote data centre although the local one
+            has a usable target.
+        known: Candidates of each upstream at its last pick.
+        objectives: Computes the latency ratio of a response.
+        latency_ratios: Latency ratios by upstream and data centre.
     """
 
     rng: random.Random = attrs.field(factory=random.Random)
@@ -76,34 +84,35 @@
     def pick(
         self,
         candidates: Candidates,
-        tried: AbstractSet[str],
+        attempted: AbstractSet[str],
         traffic_class: str,
         now_ms: float,
     ) -> MemberEntry | None:
-        """Returns a target that was not tried yet, None without any.
+        """Returns a target that was not attempted yet, None without any.
 
         Args:
             candidates: The upstream's ready targets.
-            tried: Nodes that this request was sent to already.
+            attempted: Nodes that this request was already sent to.
             traffic_class: The request's class.
             now_ms: Current time.
 
         Returns:
-            The target; an ejected one only where every other was tried.
+            The target. A target that is ejected and not due for a probe is
+            returned only if every other target was attempted.
         """
-        self._compare(candidates, now_ms)
-        near = self._draw(candidates.local, tried, traffic_class, now_ms)
-        if near is not None and not self._looks_far(
-            near, traffic_class, now_ms
+        self._update_known_targets(candidates, now_ms)
+        local = self._draw(candidates.local, attempted, traffic_class, now_ms)
+        if local is not None and not self._may_overflow(
+            local, traffic_class, now_ms
         ):
-            return near
-        far = self._draw(candidates.remote, tried, traffic_class, now_ms)
-        if near is None or far is None:
-            return near or far or self._any(candidates, tried)
-        if self._is_better(far, near, traffic_class, now_ms):
+            return local
+        remote = self._draw(candidates.remote, attempted, traffic_class, now_ms)
+        if local is None or remote is None:
+            return local or remote or self._any_target(candidates, attempted)
+        if self._is_better(remote, local, traffic_class, now_ms):
             self.overflows += 1
-            return far
-        return near
+            return remote
+        return local
 
     def pick_several(
         self,
@@ -111,24 +120,26 @@
         count: int,
         now_ms: float,
     ) -> list[MemberEntry]:
-        """Returns targets for a request that waits at several of them.
+        """Returns targets for a request that queues at several of them.
 
         Args:
             candidates: The upstream's ready targets.
-            count: Targets at most; those of the own data centre come first.
+            count: Maximum number of targets; local ones come first.
             now_ms: Current time.
         """
         found: list[MemberEntry] = []
         for targets in (candidates.local, candidates.remote):
             usable = [
-                entry for entry in targets if self._takes_work(entry, now_ms)
+                entry
+                for entry in targets
+                if self._accepts_requests(entry, now_ms)
             ]
             wanted = min(len(usable), count - len(found))
             found += self.rng.sample(usable, wanted)
         return found
 
     def on_sent(self, target: MemberEntry, now_ms: float) -> None:
-        """Notes that a request is sent to a target."""
+        """Records that a request is sent to a target."""
         load = self._load(target)
         load.own_requests += 1
         load.ejection.on_sent()
@@ -137,46 +148,46 @@
         self,
         target: MemberEntry,
         candidates: Candidates,
-        seen: RequestOutcome,
+        outcome: RequestOutcome,
         now_ms: float,
     ) -> None:
-        """Takes the end of a request that was sent.
+        """Records the outcome of a request that was sent.
 
         Args:
-            target: Where it was sent.
+            target: The target that the request was sent to.
             candidates: The upstream's ready targets.
-            seen: How it ended.
+            outcome: How the request ended.
             now_ms: Current time.
         """
         load = self._load(target)
         load.own_requests = max(0, load.own_requests - 1)
-        if seen.result is TargetResult.RESPONDED:
-            self._learn_pace(target, load, seen, now_ms)
+        if outcome.result is TargetResult.RESPONDED:
+            self._record_latency(target, load, outcome, now_ms)
             load.other_requests = max(
-                0, seen.outstanding - load.own_requests - 1
+                0, outcome.outstanding - load.own_requests - 1
             )
             load.reported_ms = now_ms
             if load.ejection.on_success():
                 load.ramp_from_ms = now_ms
-        elif seen.result is TargetResult.SLOW:
-            self._learn_pace(target, load, seen, now_ms)
+        elif outcome.result is TargetResult.SLOW:
+            self._record_latency(target, load, outcome, now_ms)
             load.ejection.on_abandoned()
-        elif seen.result is TargetResult.FAILED:
-            self._failed(load, candidates, now_ms)
+        elif outcome.result is TargetResult.FAILED:
+            self._record_failure(load, candidates, now_ms)
         else:
             load.ejection.on_abandoned()
-            _keep_hint(load, seen, now_ms)
+            _record_refusal(load, outcome, now_ms)
 
     def has_capacity(
         self, target: MemberEntry, traffic_class: str, now_ms: float
     ) -> bool:
-        """Tells whether a target plausibly has room for one more request."""
+        """Returns whether a target probably has a free slot for a request."""
         return not self._is_full(target, traffic_class, now_ms)
 
     def may_accept(
         self, target: MemberEntry, traffic_class: str, now_ms: float
     ) -> bool:
-        """Tells whether a target works and has not refused the class lately."""
+        """Returns whether a target is not ejected and did not just refuse."""
         load = self._load(target)
         if not load.ejection.allows(now_ms):
             return False
@@ -185,11 +196,12 @@
     def all_full_retry_after_ms(
         self, candidates: Candidates, traffic_class: str, now_ms: float
     ) -> int:
-        """Returns when to come back if all are full; 0 if they are not.
+        """Returns the retry delay if all targets are full; 0 otherwise.
 
-        Made for an upstream that is asked for several times its capacity: the
-        way to a target and back only to be refused costs both nodes more than
-        the refusal itself.
+        This handles an upstream whose callers request several times its
+        capacity. A round trip to a target that refuses the request costs both
+        nodes more than the refusal itself, so the entry node refuses the
+        request without the round trip.
 
         Args:
             candidates: The upstream's ready targets.
@@ -197,7 +209,8 @@
             now_ms: Current time.
 
         Returns:
-            Time in ms; 0 unless every target refused the class just now.
+            Shortest retry delay of the targets in ms; 0 unless every target
+            refused the class within `JUST_REFUSED_MS`.
         """
         soonest = 0
         for target in candidates.targets:
@@ -211,31 +224,43 @@
         """Returns the nodes whose targets are ejected."""
         return [n for n, load in self.loads.items() if load.ejection.ejected]
 
-    def _learn_pace(
+    def _record_latency(
         self,
         target: MemberEntry,
         load: TargetLoad,
-        seen: RequestOutcome,
+        outcome: RequestOutcome,
         now_ms: float,
     ) -> None:
-        centre = target.data_centre
-        part = self.objectives.latency_ratio(
-            seen.route, seen.aim_ms, centre, seen.took_ms, now_ms
+        data_centre = target.data_centre
+        ratio = self.objectives.latency_ratio(
+            outcome.route,
+            outcome.aim_ms,
+            data_centre,
+            outcome.took_ms,
+            now_ms,
         )
-        load.latency_ratio.add(part, now_ms)
-        around = self.latency_ratios.setdefault(
-            (target.upstream, centre), LatencyRatio()
+        load.latency_ratio.add(ratio, now_ms)
+        data_centre_ratio = self.latency_ratios.setdefault(
+            (target.upstream, data_centre), LatencyRatio()
         )
-        around.add(part, now_ms)
+        data_centre_ratio.add(ratio, now_ms)
 
-    def _pace(self, target: MemberEntry, now_ms: float) -> float:
-        # A node hears of each of many far targets once in a while only; those
-        # beside them tell as much.
-        around = self.latency_ratios.get((target.upstream, target.data_centre))
-        usual = DEFAULT_LATENCY_RATIO if around is None else around.at(now_ms)
-        return self._load(target).latency_ratio.at(now_ms, usual)
+    def _latency_ratio(self, target: MemberEntry, now_ms: float) -> float:
+        # Each of many remote targets responds to this node only occasionally.
+        # The other targets of the same data centre are as good an estimate.
+        data_centre_ratio = self.latency_ratios.get(
+            (target.upstream, target.data_centre)
+        )
+        estimate = (
+            DEFAULT_LATENCY_RATIO
+            if data_centre_ratio is None
+            else data_centre_ratio.at(now_ms)
+        )
+        return self._load(target).latency_ratio.at(now_ms, estimate)
 
-    def _compare(self, candidates: Candidates, now_ms: float) -> None:
+    def _update_known_targets(
+        self, candidates: Candidates, now_ms: float
+    ) -> None:
         targets = candidates.targets
         if not targets:
             return
@@ -244,8 +269,8 @@
             return
         self.known[targets[0].upstream] = candidates
         if before is None:
-            # A node's own start finds every target at work; only those that
-            # come later are cold.
+            # Targets known at the first pick are assumed to be running already.
+            # Only targets that join later are cold and need the ramp.
             return
         old = {item.node: item.incarnation for item in before.targets}
         for target in targets:
@@ -267,24 +292,24 @@
     def _draw(
         self,
         targets: Sequence[MemberEntry],
-        tried: AbstractSet[str],
+        attempted: AbstractSet[str],
         traffic_class: str,
         now_ms: float,
     ) -> MemberEntry | None:
         drawn: list[MemberEntry] = []
         for _ in range(DRAWS):
-            if not targets or len(drawn) == _CHOICES:
+            if not targets or len(drawn) == _COMPARED_TARGETS:
                 break
             entry = targets[self.rng.randrange(len(targets))]
-            if entry not in drawn and self._usable(entry, tried, now_ms):
+            if entry not in drawn and self._usable(entry, attempted, now_ms):
                 drawn.append(entry)
-        found = self._least(drawn, traffic_class, now_ms)
+        found = self._cheapest(drawn, traffic_class, now_ms)
         if found is None or self._load(found).is_full(traffic_class, now_ms):
-            usable = [e for e in targets if self._usable(e, tried, now_ms)]
-            return self._least(usable, traffic_class, now_ms)
+            usable = [e for e in targets if self._usable(e, attempted, now_ms)]
+            return self._cheapest(usable, traffic_class, now_ms)
         return found
 
-    def _least(
+    def _cheapest(
         self, entries: Sequence[MemberEntry], traffic_class: str, now_ms: float
     ) -> MemberEntry | None:
         return min(
@@ -298,17 +323,17 @@
     ) -> tuple[bool, float]:
         load = self._load(entry)
         is_full = load.is_full(traffic_class, now_ms)
-        pace = self._pace(entry, now_ms)
-        return is_full, load.cost(entry.slots, pace, now_ms)
+        latency_ratio = self._latency_ratio(entry, now_ms)
+        return is_full, load.cost(entry.slots, latency_ratio, now_ms)
 
     def _usable(
-        self, entry: MemberEntry, tried: AbstractSet[str], now_ms: float
+        self, entry: MemberEntry, attempted: AbstractSet[str], now_ms: float
     ) -> bool:
-        if entry.node in tried:
+        if entry.node in attempted:
             return False
         return self._load(entry).ejection.allows(now_ms)
 
-    def _takes_work(self, entry: MemberEntry, now_ms: float) -> bool:
+    def _accepts_requests(self, entry: MemberEntry, now_ms: float) -> bool:
         load = self._load(entry)
         return (
             load.ejection.allows(now_ms)
@@ -325,83 +350,98 @@
             entry.slots, now_ms
         )
 
-    def _looks_far(
-        self, near: MemberEntry, traffic_class: str, now_ms: float
+    def _may_overflow(
+        self, local: MemberEntry, traffic_class: str, now_ms: float
     ) -> bool:
-        if self._is_full(near, traffic_class, now_ms):
+        if self._is_full(local, traffic_class, now_ms):
             return True
-        return self._pace(near, now_ms) > DEFAULT_LATENCY_RATIO + FAR_PART
+        return (
+            self._latency_ratio(local, now_ms)
+            > DEFAULT_LATENCY_RATIO + FAR_PART
+        )
 
     def _is_better(
         self,
-        far: MemberEntry,
-        near: MemberEntry,
+        remote: MemberEntry,
+        local: MemberEntry,
         traffic_class: str,
         now_ms: float,
     ) -> bool:
-        near_full = self._is_full(near, traffic_class, now_ms)
-        far_full = self._is_full(far, traffic_class, now_ms)
-        if near_full != far_full:
-            return near_full
-        if near_full:
-            far_rank = self._rank(far, traffic_class, now_ms)
-            return far_rank < self._rank(near, traffic_class, now_ms)
-        saved = self._pace(near, now_ms) - self._pace(far, now_ms)
+        local_full = self._is_full(local, traffic_class, now_ms)
+        remote_full = self._is_full(remote, traffic_class, now_ms)
+        if local_full != remote_full:
+            return local_full
+        if local_full:
+            remote_rank = self._rank(remote, traffic_class, now_ms)
+            return remote_rank < self._rank(local, traffic_class, now_ms)
+        saved = self._latency_ratio(local, now_ms) - self._latency_ratio(
+            remote, now_ms
+        )
         return saved > FAR_PART
 
-    def _any(
-        self, candidates: Candidates, tried: AbstractSet[str]
+    def _any_target(
+        self, candidates: Candidates, attempted: AbstractSet[str]
     ) -> MemberEntry | None:
-        # Every target that is left is ejected. One of them, drawn at random,
-        # is a better bet than a certain error.
-        left = [item for item in candidates.targets if item.node not in tried]
-        return self.rng.choice(left) if left else None
-
-    def _failed(
+        # Every target that was not attempted is ejected. A request to a random
+        # ejected target may succeed; without a target, it certainly fails.
+        remaining = [
+            item for item in candidates.targets if item.node not in attempted
+        ]
+        return self.rng.choice(remaining) if remaining else None
+
+    def _record_failure(
         self, load: TargetLoad, candidates: Candidates, now_ms: float
     ) -> None:
-        out = sum(
+        ejected = sum(
             item.node in self.loads and self.loads[item.node].ejection.ejected
             for item in candidates.targets
         )
-        allowed = may_eject(out, len(candidates.targets))
+        allowed = may_eject(ejected, len(candidates.targets))
         if load.ejection.on_failure(now_ms, allowed, self.rng):
             self.ejections += 1
 
 
-def _keep_hint(load: TargetLoad, seen: RequestOutcome, now_ms: float) -> None:
-    if seen.result is TargetResult.NOT_ACCEPTING:
+def _record_refusal(
+    load: TargetLoad, outcome: RequestOutcome, now_ms: float
+) -> None:
+    if outcome.result is TargetResult.NOT_ACCEPTING:
         load.not_accepting_until_ms = now_ms + LEAVING_HINT_MS
         return
-    hint_ms = min(seen.retry_after_ms or FULL_HINT_MS, FULL_HINT_MS)
+    hint_ms = min(outcome.retry_after_ms or FULL_HINT_MS, FULL_HINT_MS)
     until_ms = now_ms + hint_ms
-    if seen.result is TargetResult.FULL:
-        load.full_hints[seen.traffic_class] = FullHint(
-            now_ms, until_ms, seen.retry_after_ms
+    if outcome.result is TargetResult.FULL:
+        load.full_hints[outcome.traffic_class] = FullHint(
+            now_ms, until_ms, outcome.retry_after_ms
+        )
+    elif outcome.result is TargetResult.WOULD_WAIT:
+        # The target would have accepted the request after a longer wait. The
+        # hint therefore must not make the entry node refuse callers: a refusal
+        # time of minus infinity excludes it from all_full_retry_after_ms().
+        load.full_hints[outcome.traffic_class] = FullHint(
+            -math.inf, until_ms, 0
         )
-    elif seen.result is TargetResult.WOULD_WAIT:
-        # It would have taken the request in the end, so this is no reason to
-        # turn callers away.
-        load.full_hints[seen.traffic_class] = FullHint(-math.inf, until_ms, 0)
 
 
 def isolation_target(
-    candidates: Candidates, fingerprint: bytes, tried: AbstractSet[str]
+    candidates: Candidates, fingerprint: bytes, attempted: AbstractSet[str]
 ) -> MemberEntry | None:
-    """Returns the target on which a suspect request runs alone.
+    """Returns the target on which a suspect request runs in isolation.
 
     Args:
         candidates: The upstream's ready targets.
         fingerprint: The request's fingerprint.
-        tried: Nodes that this request was sent to already.
+        attempted: Nodes that this request was already sent to.
 
     Returns:
-        The first untried target in an order that depends on the request only,
-        so that all nodes agree on it; None without any.
+        The first target not yet attempted, in an order that depends only on
+        the request's fingerprint, so that all nodes choose the same target;
+        None without any.
     """
-    untried = [item for item in candidates.targets if item.node not in tried]
+    remaining = [
+        item for item in candidates.targets if item.node not in attempted
+    ]
     return max(
-        untried,
+        remaining,
         key=lambda item: xxhash.xxh3_64_intdigest(
             item.node.encode() + fingerprint
         ),
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_two_choices.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_two_choices.py
@@ -1,4 +1,4 @@
-"""What callers get from placing when targets differ, fail and return."""
+"""Responses to callers when targets differ in speed, fail and return."""
 
 import random
 
@@ -17,7 +17,7 @@
 FOUR = [member(f"t{number}") for number in range(4)]
 
 
-def _part(outcomes: dict[str, list[float]], outcome: str) -> float:
+def _share(outcomes: dict[str, list[float]], outcome: str) -> float:
     calls = sum(len(times) for times in outcomes.values())
     return len(outcomes.get(outcome, [])) / calls
 
@@ -33,36 +33,41 @@
         pytest.param(True, False, id="round_robin"),
     ],
 )
-def test_one_slow_upstream(round_robin: bool, keeps_up: bool) -> None:
-    """One of four targets answers twenty times slower than the others.
+def test_one_slow_target(round_robin: bool, keeps_up: bool) -> None:
+    """One of four targets responds twenty times slower than the others.
 
-    Taking turns, one caller in four waits for it or is refused by it.
+    With round-robin, one request in four waits for the slow target or is
+    refused by the slow target.
     """
     fleet = Fleet(FOUR, round_robin=round_robin)
     fleet.targets["t0"].slow_factor = 20
     fleet.load(1200, 5000)
     fleet.events.run()
     outcomes = fleet.outcomes(from_ms=1000)
-    good = _part(outcomes, "answered") > 0.99
+    good = _share(outcomes, "answered") > 0.99
     fast = quantile(outcomes["answered"], 0.95) <= 50
     assert (good and fast) is keeps_up
 
 
 def test_skewed_demand() -> None:
-    """Nine of ten callers come in through one node."""
+    """Nine of ten requests arrive at one entry node.
+
+    If that node does not balance the load, some targets get more than others.
+    """
     fleet = Fleet(FOUR, entries=4)
     fleet.load(2500, 4000, weights=(27, 1, 1, 1))
     fleet.events.run()
-    assert _part(fleet.outcomes(), "answered") > 0.99
+    assert _share(fleet.outcomes(), "answered") > 0.99
     runs = [target.runs for target in fleet.targets.values()]
     assert max(runs) < 1.3 * min(runs)
 
 
 def test_crash_and_return_of_half_the_targets() -> None:
-    """A rack with half of an upstream's targets fails and comes back cold.
+    """A rack with half of an upstream's targets fails and returns cold.
 
-    Membership does not know yet. Callers must notice little: what was in
-    flight is tried again once, and nothing more is sent to the dead ones.
+    Membership still lists the targets as ready. Every caller must get a
+    response: requests in flight are retried, and ejection keeps further
+    requests away from the dead targets.
     """
     fleet = Fleet(FOUR)
     fleet.load(800, 15_000)
@@ -76,12 +81,15 @@
     fleet.events.run()
     assert set(fleet.outcomes()) == {"answered"}
     assert max(fleet.runs.values()) <= 3
-    lately = {name: runs - before[name] for name, runs in _runs(fleet).items()}
-    assert lately["t0"] > 0.6 * lately["t2"], "a returned target works again"
+    recent = {name: runs - before[name] for name, runs in _runs(fleet).items()}
+    assert recent["t0"] > 0.6 * recent["t2"], "a returned target works again"
 
 
 def test_all_targets_fail_for_a_while() -> None:
-    """Every request fails for two seconds; ejecting all would go on longer."""
+    """Every target fails all requests for two seconds.
+
+    If all targets were ejected, requests would fail for longer than that.
+    """
     fleet = Fleet(FOUR)
     fleet.load(500, 6000)
     for target in fleet.targets.values():
@@ -96,11 +104,14 @@
     )
     fleet.events.run()
     assert set(ejected) == {2}
-    assert _part(fleet.outcomes(from_ms=3100), "answered") > 0.99
+    assert _share(fleet.outcomes(from_ms=3100), "answered") > 0.99
 
 
-def test_saturated_upstream_is_not_asked_again_and_again() -> None:
-    """Callers ask for three times what all targets together can do."""
+def test_saturated_upstream_gets_no_repeated_attempts() -> None:
+    """Callers send three times as many requests as all targets can run.
+
+    Repeated attempts would use up capacity and delay the refusals.
+    """
     fleet = Fleet(FOUR)
     fleet.load(12_000, 2000, timeout_ms=300)
     fleet.events.run()
@@ -112,75 +123,88 @@
     assert fleet.attempts <= 1.02 * len(fleet.calls)
 
 
-def test_own_data_centre_first_then_spill() -> None:
-    """The counter's own data centre has one target; a rush needs three."""
+def test_local_data_centre_is_preferred_and_overflows() -> None:
+    """The local data centre has one target; a load peak needs three.
+
+    Without overflow, callers are refused; at low load, requests stay local.
+    """
     members = [
-        member("near", "hobart"),
-        member("far-1", "burnie"),
-        member("far-2", "burnie"),
+        member("local", "hobart"),
+        member("remote-1", "burnie"),
+        member("remote-2", "burnie"),
     ]
     fleet = Fleet(members)
     fleet.load(300, 2000)
     fleet.load(1800, 4000, from_ms=2100, seed=2)
     fleet.events.run()
-    assert _part(fleet.outcomes(), "answered") > 0.99
+    assert _share(fleet.outcomes(), "answered") > 0.99
     quiet = Fleet(members)
     quiet.load(300, 2000)
     quiet.events.run()
-    assert quiet.targets["near"].runs > 0.98 * len(quiet.calls)
+    assert quiet.targets["local"].runs > 0.98 * len(quiet.calls)
 
 
-def test_slow_data_centre_is_left() -> None:
-    """The near target turns slow without being full; far ones answer fast."""
+def test_slow_local_target_causes_overflow() -> None:
+    """The local target becomes slow without being full; a remote one is fast.
+
+    If only a full target caused overflow, callers would wait for the slow one.
+    """
     table = MemberTable(member("entry", upstream=""))
-    near, far = member("near"), member("far", "burnie")
-    table.merge([near, far])
+    local, remote = member("local"), member("remote", "burnie")
+    table.merge([local, remote])
     candidates = CandidateIndex(table).of("stock")
-    placing = TwoChoices(random.Random(1))
-    for target, took_ms in ((near, 30.0), (far, 12.0)):
-        seen = RequestOutcome(TargetResult.RESPONDED, TRAFFIC_CLASS, took_ms)
-        placing.on_ended(target, candidates, seen, 0)
-    assert placing.pick(candidates, set(), TRAFFIC_CLASS, 1) == near
+    balancer = TwoChoices(random.Random(1))
+    for target, took_ms in ((local, 30.0), (remote, 12.0)):
+        outcome = RequestOutcome(TargetResult.RESPONDED, TRAFFIC_CLASS, took_ms)
+        balancer.on_ended(target, candidates, outcome, 0)
+    assert balancer.pick(candidates, set(), TRAFFIC_CLASS, 1) == local
     for _ in range(20):
-        seen = RequestOutcome(TargetResult.RESPONDED, TRAFFIC_CLASS, 200.0)
-        placing.on_ended(near, candidates, seen, 2)
-    assert placing.pick(candidates, set(), TRAFFIC_CLASS, 3) == far
+        outcome = RequestOutcome(TargetResult.RESPONDED, TRAFFIC_CLASS, 200.0)
+        balancer.on_ended(local, candidates, outcome, 2)
+    assert balancer.pick(candidates, set(), TRAFFIC_CLASS, 3) == remote
 
 
-def test_full_hint_ages_out() -> None:
-    """A target refused once for want of room; soon it has room again."""
+def test_full_hint_expires() -> None:
+    """A full target refuses one request and has free slots soon afterwards.
+
+    If the hint did not expire, the target would get no further requests.
+    """
     table = MemberTable(member("entry", upstream=""))
     table.merge([member("a")])
     index = CandidateIndex(table)
-    placing = TwoChoices(random.Random(1))
-    entry = placing.pick(index.of("stock"), set(), TRAFFIC_CLASS, 0)
+    balancer = TwoChoices(random.Random(1))
+    entry = balancer.pick(index.of("stock"), set(), TRAFFIC_CLASS, 0)
     assert entry is not None
-    placing.on_sent(entry, 0)
+    balancer.on_sent(entry, 0)
     full = RequestOutcome(
         TargetResult.FULL, TRAFFIC_CLASS, outstanding=30, retry_after_ms=60_000
     )
-    placing.on_ended(entry, index.of("stock"), full, 1)
-    assert not placing.has_capacity(entry, TRAFFIC_CLASS, 100)
-    assert placing.has_capacity(entry, "batch", 100)
-    assert placing.has_capacity(entry, TRAFFIC_CLASS, 300)
+    balancer.on_ended(entry, index.of("stock"), full, 1)
+    assert not balancer.has_capacity(entry, TRAFFIC_CLASS, 100)
+    assert balancer.has_capacity(entry, "batch", 100)
+    assert balancer.has_capacity(entry, TRAFFIC_CLASS, 300)
     assert (
-        placing.all_full_retry_after_ms(index.of("stock"), TRAFFIC_CLASS, 10)
+        balancer.all_full_retry_after_ms(index.of("stock"), TRAFFIC_CLASS, 10)
         == 60_000
     )
-    assert placing.all_full_retry_after_ms(index.of("stock"), "batch", 10) == 0
+    assert balancer.all_full_retry_after_ms(index.of("stock"), "batch", 10) == 0
     assert (
-        placing.all_full_retry_after_ms(index.of("stock"), TRAFFIC_CLASS, 30)
+        balancer.all_full_retry_after_ms(index.of("stock"), TRAFFIC_CLASS, 30)
         == 0
     )
 
 
-def test_new_target_gets_its_part_slowly() -> None:
-    """A target starts cold in a running upstream and could not take a rush."""
+def test_new_target_gets_its_share_slowly() -> None:
+    """A cold target joins an upstream under load.
+
+    Without the ramp, the target would get its full share at once and fail to
+    keep up.
+    """
     fleet = Fleet(FOUR[:3])
-    newcomer = member("t3")
-    fleet.targets["t3"] = Fleet([newcomer]).targets["t3"]
+    new_target = member("t3")
+    fleet.targets["t3"] = Fleet([new_target]).targets["t3"]
     fleet.load(2000, 16_000)
-    fleet.events.schedule(2000, lambda: fleet.merge(newcomer))
+    fleet.events.schedule(2000, lambda: fleet.merge(new_target))
     early = []
     fleet.events.schedule(4000, lambda: early.append(fleet.targets["t3"].runs))
     fleet.events.run()
@@ -189,34 +213,38 @@
 
 
 def test_ejected_target_is_probed_by_one_request() -> None:
+    """A target is ejected after three failures and still fails later.
+
+    If its return were not probed, many requests would fail at once.
+    """
     table = MemberTable(member("entry", upstream=""))
     table.merge(FOUR)
     index = CandidateIndex(table)
     candidates = index.of("stock")
-    placing = TwoChoices(random.Random(1))
+    balancer = TwoChoices(random.Random(1))
     failed = RequestOutcome(TargetResult.FAILED)
     for _ in range(3):
-        placing.on_sent(FOUR[0], 0)
-        placing.on_ended(FOUR[0], candidates, failed, 0)
+        balancer.on_sent(FOUR[0], 0)
+        balancer.on_ended(FOUR[0], candidates, failed, 0)
 
-    def chosen(now_ms: float) -> int:
+    def picks_of_ejected(now_ms: float) -> int:
         count = 0
         for _ in range(200):
-            entry = placing.pick(candidates, set(), TRAFFIC_CLASS, now_ms)
+            entry = balancer.pick(candidates, set(), TRAFFIC_CLASS, now_ms)
             assert entry is not None
             if entry.node == "t0":
-                placing.on_sent(entry, now_ms)
+                balancer.on_sent(entry, now_ms)
                 count += 1
         return count
 
-    assert chosen(500) == 0
-    assert chosen(1500) == 1
-    placing.on_ended(FOUR[0], candidates, failed, 1600)
-    assert chosen(2500) == 0
-    assert chosen(5000) == 1
+    assert picks_of_ejected(500) == 0
+    assert picks_of_ejected(1500) == 1
+    balancer.on_ended(FOUR[0], candidates, failed, 1600)
+    assert picks_of_ejected(2500) == 0
+    assert picks_of_ejected(5000) == 1
 
 
-def test_index_is_made_for_changes_that_count_only() -> None:
+def test_index_is_rebuilt_only_after_serving_changes() -> None:
     table = MemberTable(member("entry", upstream=""))
     table.merge(
         member(f"n{number}", upstream=f"u{number % 32}")
@@ -235,23 +263,23 @@
     assert index.builds == 2
 
 
-def test_a_data_centre_with_slow_machines_sends_work_next_door() -> None:
-    """One data centre has the slow machines, the other one idle fast ones.
+def test_data_centre_with_slow_machines_overflows() -> None:
+    """The local data centre has slow machines, the remote one idle fast ones.
 
-    No target is full, so nothing looks wrong; callers in the slow data centre
-    wait more than twice as long as they need.
+    Because no local target is full, a balancer that considers only load keeps
+    all requests local. Callers wait more than twice as long as necessary.
     """
-    near = [member(f"near-{number}", "hobart") for number in range(4)]
-    far = [member(f"far-{number}", "burnie") for number in range(4)]
-    fleet = Fleet([*near, *far], aim_ms=30)
-    for entry in near:
+    local = [member(f"local-{number}", "hobart") for number in range(4)]
+    remote = [member(f"remote-{number}", "burnie") for number in range(4)]
+    fleet = Fleet([*local, *remote], aim_ms=30)
+    for entry in local:
         fleet.targets[entry.node].slow_factor = 2.5
     fleet.load(800, 6000)
     fleet.events.run()
     took = fleet.outcomes(from_ms=2000)["answered"]
     assert quantile(took, 0.5) <= 15
-    even = Fleet([*near, *far], aim_ms=30)
+    even = Fleet([*local, *remote], aim_ms=30)
     even.load(800, 6000)
     even.events.run()
-    stayed = sum(even.targets[entry.node].runs for entry in near)
-    assert stayed > 0.95 * len(even.calls)
+    local_runs = sum(even.targets[entry.node].runs for entry in local)
+    assert local_runs > 0.95 * len(even.calls)
