--- a/packages/pomelobank-core/src/pomelobank_core/_objects.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the configuration and the immutable snapshot that holds them."""
+"""Configuration objects and the immutable snapshot that contains them."""
 
 import enum
 from collections.abc import Iterable, Mapping
@@ -18,10 +18,10 @@
 
 
 class ObjectKind(enum.Enum):
-    """The three kinds of object that operators create."""
+    """Kinds of configuration objects that operators create."""
 
-    # Replay looks up some thousand keys for each change; the enumeration's own
-    # hash, written in Python, was most of the time that this took.
+    # Replay looks up some thousand keys for each change. With the hash function
+    # of enum.Enum, which is written in Python, hashing took most of that time.
     __hash__ = object.__hash__
 
     SERVICE = "service"
@@ -31,7 +31,7 @@
 
 @attrs.frozen(cache_hash=True)
 class ObjectKey:
-    """Identifies an object.
+    """Key of a configuration object.
 
     Attributes:
         kind: The object's kind.
@@ -50,11 +50,11 @@
 
 @attrs.frozen
 class VersionedObject:
-    """An object and the version of the change that wrote it last.
+    """An object and the version of the change that last wrote the object.
 
     Attributes:
         value: The object.
-        revision: Version of that change.
+        revision: Version of the change.
     """
 
     value: ConfigObject
@@ -63,12 +63,12 @@
 
 @attrs.frozen
 class Snapshot:
-    """A whole configuration; it never changes once it is made.
+    """An immutable, complete configuration.
 
     Attributes:
-        version: Log position up to which every record is applied: the change
-            at offset n is in force from version n + 1 on.
-        objects: Every object by its key.
+        version: Log offset before which every record is applied; the change at
+            offset n is in force from version n + 1 on.
+        objects: All objects by key.
     """
 
     version: int = 0
@@ -77,12 +77,12 @@
     )
 
     def service(self, name: str) -> ServiceObject | None:
-        """Returns a service, None where there is none of that name."""
+        """Returns the service of a name, None without one."""
         found = self.objects.get(ObjectKey(ObjectKind.SERVICE, name))
         return found.value if found else None  # type: ignore[return-value]
 
     def upstream(self, name: str) -> UpstreamObject | None:
-        """Returns an upstream, None where there is none of that name."""
+        """Returns the upstream of a name, None without one."""
         found = self.objects.get(ObjectKey(ObjectKind.UPSTREAM, name))
         return found.value if found else None  # type: ignore[return-value]
 
@@ -101,7 +101,7 @@
 
 
 def snapshot_object_value(item: SnapshotObject) -> ConfigObject | None:
-    """Returns the object of a snapshot's item, None unless there is one."""
+    """Returns the object of an item, None unless there is exactly one."""
     return _only((item.service, item.upstream, item.route))
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/_rendezvous.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: an order of nodes on which all agree without asking."""
+"""Rendezvous hashing: all nodes compute the same order without messages."""
 
 import functools
 from collections.abc import Iterable
@@ -14,11 +14,11 @@
 def rendezvous_order(nodes: Iterable[str], salt: str) -> list[str]:
     """Returns nodes in the order of their hashes.
 
-    When a node comes or goes, the others keep their order among each other.
+    When a node joins or leaves, the relative order of the other nodes stays.
 
     Args:
         nodes: Ids of nodes.
-        salt: What the order is for; different salts give unrelated orders.
+        salt: Name of the purpose; different salts give independent orders.
 
     Returns:
         The ids, the highest hash first.
@@ -30,6 +30,6 @@
 
 
 def rank_of(node: str, nodes: Iterable[str], salt: str) -> int:
-    """Returns the number of nodes that come before a node."""
+    """Returns how many nodes precede a node in the rendezvous order."""
     own = (-_weight(salt, node), node)
     return sum((-_weight(salt, other), other) < own for other in nodes)
--- a/packages/pomelobank-core/src/pomelobank_core/_replay.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_replay.py
@@ -1,4 +1,4 @@
-"""The configuration as a state machine that is replayed from the log."""
+"""The configuration as a state machine that replays records of the log."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -28,28 +28,28 @@
 KeyT = TypeVar("KeyT")
 ValueT = TypeVar("ValueT")
 
-# The audit trail and the window in which a repeated change id is recognised:
-# both end after this many changes. An entry takes about 1 KB; at 420 changes a
-# day 2,000 cover four days and a node holds 2 MB of them at most.
+# Number of recent changes in the audit trail. A repeated change id is only
+# recognised within these changes. At 420 changes a day, 2,000 entries cover
+# four days; at about 1 KB an entry, a node holds at most 2 MB of entries.
 MAX_AUDIT_ENTRIES = 2000
 _DIGEST_MASK = (1 << 63) - 1
 
 
 @attrs.frozen
 class ChangeDecision:
-    """What replay decided about a change.
+    """Decision of replay about a change.
 
-    It leaves out the change's operations, so that a snapshot carries every
-    remembered change in little space.
+    The decision does not contain the change's operations, so that a snapshot
+    with all decisions stays small.
 
     Attributes:
-        version: Version from which the change counts: its offset plus one.
+        version: Version from which the change is in force: its offset plus one.
         change_id: Unique id of the change.
-        author: Operator who asked for it.
-        reason: Why, in the operator's words.
-        at_ms: When the accepting node appended it, in ms since the epoch.
-        objects: Keys of the objects it names, as text.
-        problems: Why it was rejected; none where it was accepted.
+        author: Operator who requested the change.
+        reason: Reason that the operator gave.
+        at_ms: Time at which a node appended the change, in ms since the epoch.
+        objects: Keys of the objects in the change, as text.
+        problems: Reasons for the rejection; empty if the change was accepted.
         digest: Digest of the change's operations.
     """
 
@@ -69,7 +69,7 @@
         record: ChangeRecord,
         problems: tuple[Problem, ...] = (),
     ) -> "ChangeDecision":
-        """Returns the verdict on a change record."""
+        """Returns the decision about a change record."""
         values = map(operation_object, record.operations)
         return cls(
             version=version,
@@ -90,11 +90,12 @@
 
 @attrs.frozen
 class ConfigState:
-    """Everything that replay derives from the log.
+    """State that replay derives from the log.
 
     Attributes:
         snapshot: The configuration in force.
-        decisions: What was decided, by change id, oldest first and bounded.
+        decisions: Decisions by change id, oldest first; at most
+            `MAX_AUDIT_ENTRIES`.
     """
 
     snapshot: Snapshot = attrs.field(factory=Snapshot)
@@ -104,11 +105,11 @@
 
 
 def operations_digest(record: ChangeRecord) -> int:
-    """Returns a digest of what a change does, the same on every node.
+    """Returns a digest of a change's operations, the same on every node.
 
-    It tells a change that is sent again from another change that was given
-    the same id by mistake: answering the second with the verdict on the first
-    would tell an operator that something is in force which never was.
+    The digest distinguishes a repeated change from another change with the same
+    id by mistake. If a node returned the decision about the first change for
+    the second one, an operator would believe that the second is in force.
     """
     operations = [item.to_wire() for item in record.operations]
     return xxhash.xxh3_64_intdigest(msgpack.packb(operations)) & _DIGEST_MASK
@@ -119,8 +120,8 @@
 ) -> ConfigState:
     """Applies one change record.
 
-    Every node runs this same pure function over the same records in the same
-    order, so all agree on each verdict without asking each other.
+    Every node runs this pure function on the same records in the same order, so
+    that all nodes make the same decisions without messages.
 
     Args:
         state: State before the record; its version must equal the offset.
@@ -128,15 +129,16 @@
         record: The change.
 
     Returns:
-        The state after the record. A rejected or repeated change moves the
-        version on and leaves every object as it was.
+        The state after the record. A rejected or repeated change increases the
+        version and changes no object.
 
     Raises:
         ValueError: If the record is not the next one.
     """
     if offset != state.snapshot.version:
         raise ValueError(
-            f"offset {offset} does not follow version {state.snapshot.version}"
+            f"cannot apply the record at offset {offset}: the next offset is"
+            f" {state.snapshot.version}"
         )
     if record.change_id in state.decisions:
         return skip_record(state, offset)
@@ -146,19 +148,20 @@
 def advance(
     state: ConfigState, offset: int, record: ChangeRecord | None
 ) -> ConfigState:
-    """Takes one record as it arrives, from the log or from a peer.
+    """Applies a record from the log or a peer if the record is the next one.
 
-    Pushes cross each other, arrive twice or after a gap. Taking one out of
-    order would make this node decide on another configuration than the others
-    did; only the record that follows the version is applied.
+    Pushes from peers may arrive out of order, twice or after a gap. A node that
+    applied records out of order would derive a different configuration than
+    the other nodes. Any record but the one at the state's version is ignored.
 
     Args:
-        state: State before.
+        state: State before the record.
         offset: The record's offset in the log.
         record: The change; None for a record that changes nothing.
 
     Returns:
-        The state after, the same object where the record is not the next one.
+        The state after the record; the same object if the record is not the
+        next one.
     """
     if offset != state.snapshot.version:
         return state
@@ -168,9 +171,9 @@
 
 
 def skip_record(state: ConfigState, offset: int) -> ConfigState:
-    """Moves past a record that changes nothing."""
-    moved = attrs.evolve(state.snapshot, version=offset + 1)
-    return attrs.evolve(state, snapshot=moved)
+    """Advances the version past a record that changes nothing."""
+    advanced = attrs.evolve(state.snapshot, version=offset + 1)
+    return attrs.evolve(state, snapshot=advanced)
 
 
 def _decide(
@@ -179,20 +182,20 @@
     version = offset + 1
     match evaluate(state.snapshot, version, record):
         case Success(objects):
-            verdict = ChangeDecision.of(version, record)
+            decision = ChangeDecision.of(version, record)
         case Failure(problems):
-            verdict = ChangeDecision.of(version, record, problems)
+            decision = ChangeDecision.of(version, record, problems)
             objects = state.snapshot.objects
     return ConfigState(
         snapshot=Snapshot(version, objects),
-        decisions=_remember(state.decisions, verdict),
+        decisions=_add_decision(state.decisions, decision),
     )
 
 
 def evaluate(
     snapshot: Snapshot, version: int, record: ChangeRecord
 ) -> Result[Mapping[ObjectKey, VersionedObject], tuple[Problem, ...]]:
-    """Works out the configuration that a change leads to.
+    """Computes the configuration that results from a change.
 
     Args:
         snapshot: Configuration before the change.
@@ -200,33 +203,35 @@
         record: The change.
 
     Returns:
-        Every object after the change, or the problems that reject it whole.
+        All objects after the change, or the problems for which the whole change
+        is rejected.
     """
     if not record.operations:
         empty = Problem(
             ProblemKind.EMPTY_CHANGE, "", "a change needs an operation"
         )
         return Failure((empty,))
-    objects = _copied(snapshot.objects)
+    objects = _mutable_copy(snapshot.objects)
     problems: list[Problem] = []
     for operation in record.operations:
         problem = _apply_operation(objects, operation, version)
         if problem is not None:
             problems.append(problem)
-    problems.extend(check_touched(objects, _touched(record)))
+    problems.extend(check_touched(objects, _touched_keys(record)))
     if problems:
         return Failure(tuple(problems))
     return Success(MappingProxyType(objects))
 
 
-def _touched(record: ChangeRecord) -> list[ObjectKey]:
+def _touched_keys(record: ChangeRecord) -> list[ObjectKey]:
     values = map(operation_object, record.operations)
     keys = [object_key(value) for value in values if value is not None]
     return list(dict.fromkeys(keys))
 
 
-def _copied(items: Mapping[KeyT, ValueT]) -> dict[KeyT, ValueT]:
-    # Copying through the read-only view would hash every key again.
+def _mutable_copy(items: Mapping[KeyT, ValueT]) -> dict[KeyT, ValueT]:
+    # MappingProxyType.copy() copies the underlying dictionary with its hashes;
+    # dict() would compute the hash of every key again.
     if isinstance(items, MappingProxyType):
         return items.copy()
     return dict(items)
@@ -261,9 +266,9 @@
 def _check_revision(
     key: ObjectKey, found: VersionedObject | None, expected: int
 ) -> Problem | None:
-    # Two operators who read the same route and both write it would silently
-    # undo each other; the one whose record comes later in the log sees that
-    # the revision has moved and is rejected whole.
+    # Without this check, two operators who read and write the same route would
+    # silently overwrite each other's change. With the check, the change that is
+    # later in the log names an outdated revision and is rejected as a whole.
     current = found.revision if found else MUST_NOT_EXIST
     if expected in (ANY_REVISION, current):
         return None
@@ -274,11 +279,11 @@
     )
 
 
-def _remember(
-    verdicts: Mapping[str, ChangeDecision], verdict: ChangeDecision
+def _add_decision(
+    decisions: Mapping[str, ChangeDecision], decision: ChangeDecision
 ) -> Mapping[str, ChangeDecision]:
-    kept = _copied(verdicts)
-    kept[verdict.change_id] = verdict
+    kept = _mutable_copy(decisions)
+    kept[decision.change_id] = decision
     while len(kept) > MAX_AUDIT_ENTRIES:
         del kept[next(iter(kept))]
     return MappingProxyType(kept)
--- a/packages/pomelobank-core/src/pomelobank_core/_routing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_routing.py
@@ -1,4 +1,4 @@
-"""Matches requests to routes and picks the upstream by weight."""
+"""Matches requests to routes and picks an upstream by weight."""
 
 import math
 from collections.abc import Iterable, Iterator
@@ -15,11 +15,11 @@
 
 @attrs.frozen
 class RouteTable:
-    """Routes of one snapshot, prepared for matching.
+    """Routes of one snapshot, indexed for matching.
 
     Attributes:
         version: Version of the snapshot.
-        by_service: Routes of each service by their prefix.
+        by_service: Routes by service and path prefix.
     """
 
     version: int
@@ -27,14 +27,14 @@
 
     @classmethod
     def of(cls, snapshot: Snapshot) -> "RouteTable":
-        """Prepares the routes of a snapshot."""
+        """Indexes the routes of a snapshot."""
         return cls.of_routes(snapshot.version, snapshot.routes())
 
     @classmethod
     def of_routes(
         cls, version: int, routes: Iterable[RouteObject]
     ) -> "RouteTable":
-        """Prepares the routes of one version; of twins the first one counts."""
+        """Indexes routes; of routes with the same prefix, the first counts."""
         by_service: dict[str, dict[str, RouteObject]] = {}
         for route in routes:
             by_prefix = by_service.setdefault(route.service, {})
@@ -44,15 +44,16 @@
     def match(self, service: str, path: str) -> RouteObject | None:
         """Returns the route with the longest prefix of the path.
 
-        Looked up by the few beginnings that the path has. A comparison with
-        each of 1,500 routes of a service took 0.4 ms, this takes 2 us.
+        Each possible prefix of the path is looked up in a dictionary. With
+        1,500 routes in a service, this takes 2 us, whereas a comparison of the
+        path with each route took 0.4 ms.
 
         Args:
             service: Service that the caller addressed.
             path: Path without query.
 
         Returns:
-            The route, None where none matches.
+            The route, None if no route matches.
         """
         by_prefix = self.by_service.get(service)
         if not by_prefix:
@@ -65,7 +66,7 @@
 
 
 def _prefixes(path: str) -> Iterator[str]:
-    """Returns what the prefixes of a path can be, the longest first.
+    """Yields the prefixes of a path that a route can have, longest first.
 
     >>> list(_prefixes("/stock/12"))
     ['/stock/12', '/stock/', '/stock', '/', '']
@@ -80,7 +81,7 @@
 
 
 def has_prefix(path: str, prefix: str) -> bool:
-    """Tells whether a path lies under a prefix, whole segments only.
+    """Returns whether a prefix matches whole segments of a path.
 
     >>> has_prefix("/stock/12", "/stock")
     True
@@ -93,7 +94,7 @@
 
 
 def is_idempotent(route: RouteObject, method: str) -> bool:
-    """Tells whether a method of the route may run more than once."""
+    """Returns whether a method of a route may run more than once."""
     if route.repeatable:
         return route.repeatable == ALWAYS
     if route.idempotent_methods:
@@ -106,22 +107,24 @@
 ) -> str | None:
     """Picks one of the route's upstreams by weight.
 
-    Made for work that is shifted from one upstream to another while requests
-    are sent again. Drawn anew for each try, one request could reach both; here
-    the same key keeps its upstream while the weights stand, and a change of
-    the weights moves no more requests than it must.
+    This handles traffic that is shifted between upstreams while requests are
+    retried. If each attempt drew an upstream at random, the attempts of one
+    request could reach both upstreams. Here, a request key keeps its upstream
+    while the weights stay the same, and a change of the weights moves only as
+    many requests as necessary.
 
-    An upstream without any target loses its weight to the others. One that is
-    merely full does not: its load would push the others over as well.
+    The weight of an upstream without targets goes to the other upstreams. An
+    upstream that is only full keeps its weight, because its load would overload
+    the other upstreams as well.
 
     Args:
         route: The route.
-        available: Upstreams with at least one target that can serve; None
-            where each keeps its part whether it can serve or not.
-        request_key: What identifies the request: its key or its trace id.
+        available: Upstreams with at least one target that can serve; None if
+            each upstream keeps its share whether it can serve or not.
+        request_key: Identifies the request: its idempotency key or trace id.
 
     Returns:
-        The upstream's name, None where none with a weight is available.
+        The upstream's name, None if no available upstream has a weight.
     """
     choices = [
         item
@@ -138,7 +141,8 @@
 
 
 def _score(weight: int, upstream: str, request_key: str) -> float:
-    # Weighted rendezvous hashing: the highest score falls to an upstream with
-    # the probability of its weight, and no other weight enters its score.
+    # Weighted rendezvous hashing: the probability that an upstream has the
+    # highest score is proportional to its weight, and the score does not depend
+    # on the weights of other upstreams.
     digest = xxhash.xxh3_64_intdigest(f"{upstream}\0{request_key}".encode())
     return -weight / math.log((digest + 0.5) / 2**64)
--- a/packages/pomelobank-core/src/pomelobank_core/_snapshots.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: the whole replayed state as one record of the log."""
+"""Snapshots: the complete replayed state as a record of the log."""
 
 import random
 from collections.abc import Iterable
@@ -28,10 +28,11 @@
 )
 from pomelobank_schema.generated.settings import SnapshotSettings
 
-# A snapshot is due when the newest one has used up this part of the retention.
-# The rest is for the nodes whose turn comes first being gone, for an outage of
-# the log, and for nodes that read the snapshot late.
-_RETENTION_PART = 3
+# A snapshot is due when the time or the records since the newest one reach the
+# retention divided by this. The remaining two thirds of the retention cover the
+# failure of the nodes whose turn comes first, an outage of the log, and nodes
+# that read the snapshot late.
+_RETENTION_DIVISOR = 3
 
 SNAPSHOT_FORMAT = 1
 _NEWER_FORMAT = Problem(
@@ -44,12 +45,12 @@
 def snapshot_record(
     state: ConfigState, node: str = "", at_ms: int = 0
 ) -> SnapshotRecord:
-    """Returns the record that carries a whole state.
+    """Returns the snapshot record of a state.
 
     Args:
         state: The state.
-        node: Node that writes it.
-        at_ms: Time since the epoch.
+        node: Node that writes the record.
+        at_ms: Current time in ms since the epoch.
 
     Returns:
         The record.
@@ -67,17 +68,18 @@
 def restore_snapshot(
     record: SnapshotRecord,
 ) -> Result[ConfigState, tuple[Problem, ...]]:
-    """Rebuilds the state that a snapshot carries.
+    """Restores the state of a snapshot.
 
     Args:
         record: The snapshot.
 
     Returns:
-        The state, or what is wrong with the snapshot. A snapshot that breaks
-        a reference is never taken: a route of it would lead nowhere.
+        The state, or the problems of the snapshot. A snapshot with a missing
+        reference is rejected, because requests of a route that refers to a
+        missing object could not be forwarded.
     """
     if record.format > SNAPSHOT_FORMAT:
-        # It may hold what this program would drop without noticing.
+        # A newer format may have fields that this program would silently drop.
         return Failure((_NEWER_FORMAT,))
     objects: dict[ObjectKey, VersionedObject] = {}
     for item in record.objects:
@@ -91,7 +93,7 @@
     return Success(
         ConfigState(
             snapshot=Snapshot(record.as_of, MappingProxyType(objects)),
-            decisions=_verdicts(record.audit),
+            decisions=_decisions(record.audit),
         )
     )
 
@@ -99,19 +101,19 @@
 def adopt_snapshot(
     state: ConfigState, record: SnapshotRecord
 ) -> Result[ConfigState, tuple[Problem, ...]]:
-    """Takes over a snapshot, unless the state is as new already.
+    """Adopts the state of a snapshot that is newer than the present state.
 
-    A snapshot may be old when it arrives, from a writer that was paused or
-    from a slow read; taking it would bring back routes that operators have
-    replaced.
+    A snapshot may be outdated when it arrives, because its writer was paused or
+    the read was slow. A node that adopted an outdated snapshot would restore
+    routes that operators have replaced.
 
     Args:
-        state: State before.
+        state: Present state.
         record: The snapshot.
 
     Returns:
-        The state after, the same object where the snapshot is no news; or
-        what is wrong with the snapshot.
+        The new state; the same object if the snapshot is not newer; or the
+        problems of the snapshot.
     """
     if record.as_of <= state.snapshot.version:
         return Success(state)
@@ -137,33 +139,33 @@
     )
 
 
-def _audit_record(verdict: ChangeDecision) -> AuditRecord:
+def _audit_record(decision: ChangeDecision) -> AuditRecord:
     return AuditRecord(
-        version=verdict.version,
-        change_id=verdict.change_id,
-        author=verdict.author,
-        reason=verdict.reason,
-        at_ms=verdict.at_ms,
-        objects=verdict.objects,
+        version=decision.version,
+        change_id=decision.change_id,
+        author=decision.author,
+        reason=decision.reason,
+        at_ms=decision.at_ms,
+        objects=decision.objects,
         problems=tuple(
             ProblemRecord(
                 kind=problem.kind.value,
                 key=problem.object,
                 message=problem.message,
             )
-            for problem in verdict.problems
+            for problem in decision.problems
         ),
-        digest=verdict.digest,
+        digest=decision.digest,
     )
 
 
-def _verdicts(
+def _decisions(
     audit: Iterable[AuditRecord],
 ) -> MappingProxyType[str, ChangeDecision]:
-    return MappingProxyType({item.change_id: _verdict(item) for item in audit})
+    return MappingProxyType({item.change_id: _decision(item) for item in audit})
 
 
-def _verdict(item: AuditRecord) -> ChangeDecision:
+def _decision(item: AuditRecord) -> ChangeDecision:
     return ChangeDecision(
         version=item.version,
         change_id=item.change_id,
@@ -180,8 +182,8 @@
     try:
         kind = ProblemKind(item.kind)
     except ValueError:
-        # A newer node may know more kinds; that the change was rejected, and
-        # the message, still hold.
+        # A newer node may use kinds that this program does not know. The
+        # rejection of the change and the message are still valid.
         kind = ProblemKind.MALFORMED_OPERATION
     return Problem(kind, item.key, item.message)
 
@@ -190,17 +192,18 @@
 class SnapshotSchedule:
     """Decides when this node should write a snapshot.
 
-    Every node runs one. The nodes take turns in the order of a hash, so that
-    usually one of them writes; two that both write do no harm, because replay
-    passes over a snapshot. Nobody holds a lease that could lapse.
+    Every node runs a schedule. A node's delay before its write grows with the
+    node's rank in a hash order, so that usually only one node writes. Two
+    snapshots from two nodes do no harm, because replay skips snapshots. No
+    lease is needed that could expire.
 
     Attributes:
-        settings: Retention and pause between two nodes' turns.
+        settings: Retention and delay between two nodes' turns.
         node: The node's id.
         rng: Source of randomness.
-        as_of: Version of the newest snapshot that is known.
-        written_ms: When it was written, on this node's own clock.
-        due_ms: When this node's turn comes; None while nothing is due.
+        as_of: Version of the newest known snapshot.
+        written_ms: Time of that snapshot on this node's monotonic clock.
+        due_ms: Start of this node's turn; None while no snapshot is due.
     """
 
     settings: SnapshotSettings
@@ -213,30 +216,31 @@
     def on_snapshot(
         self, record: SnapshotRecord, now_ms: int, wall_ms: int
     ) -> None:
-        """Notes a snapshot that replay came past.
+        """Records a snapshot that replay has read.
 
         Args:
             record: The snapshot.
             now_ms: Monotonic time.
-            wall_ms: Time since the epoch, compared with the writer's.
+            wall_ms: Time since the epoch, compared with the writer's time.
         """
         self.on_snapshot_age(record.as_of, wall_ms - record.at_ms, now_ms)
 
     def on_snapshot_age(self, as_of: int, age_ms: int, now_ms: int) -> None:
-        """Notes how old the newest snapshot in the log is.
+        """Records the age of the newest snapshot in the log.
 
-        A node that starts from a peer's state has never read a snapshot from
-        the log. If it counted from its own start, a fleet whose nodes are all
-        replaced within a third of the retention would never write one.
+        A node that starts from a peer's state has not read any snapshot from
+        the log. If the node measured the age from its own start, a fleet whose
+        nodes are all replaced within a third of the retention would never write
+        a snapshot.
 
         Args:
-            as_of: Version of the snapshot; 0 where the age is that of the
-                oldest record.
-            age_ms: Its age.
+            as_of: Version of the snapshot; 0 if the age is that of the oldest
+                record.
+            age_ms: Age of the snapshot.
             now_ms: Monotonic time.
         """
-        # A writer whose clock is ahead would otherwise keep everybody from
-        # writing the next snapshot in time.
+        # A snapshot whose writer's clock is ahead has a negative age. Without
+        # the limit of 0, that age would delay the next snapshot on all nodes.
         written_ms = now_ms - max(0, age_ms)
         known = self.written_ms is not None
         if as_of < self.as_of or (known and as_of == self.as_of):
@@ -248,7 +252,7 @@
     def should_write(
         self, version: int, live: Iterable[str], now_ms: int
     ) -> bool:
-        """Tells whether this node should write a snapshot now.
+        """Returns whether this node should write a snapshot now.
 
         Args:
             version: The node's version.
@@ -256,7 +260,7 @@
             now_ms: Monotonic time.
 
         Returns:
-            Whether it should.
+            Whether the node should write a snapshot.
         """
         if not self._is_due(version, now_ms):
             self.due_ms = None
@@ -266,7 +270,7 @@
         return now_ms >= self.due_ms
 
     def on_write_failed(self, now_ms: int) -> None:
-        """Puts the next try off after one that the log did not take."""
+        """Delays the next attempt after a failed append of a snapshot."""
         pause_ms = self.rng.randint(1, 2 * self.settings.rank_delay_ms)
         self.due_ms = now_ms + pause_ms
 
@@ -274,17 +278,17 @@
         if version == 0:
             return False
         if self.written_ms is None:
-            # Nothing is known of the log's first records; time starts to
-            # count with this node's first look.
+            # The age of the log's first records is unknown, so the age is
+            # measured from this node's first check.
             self.written_ms = now_ms
-        limit_ms = self.settings.retention_ms // _RETENTION_PART
+        limit_ms = self.settings.retention_ms // _RETENTION_DIVISOR
         if now_ms - self.written_ms >= limit_ms:
             return True
-        limit = self.settings.retention_records // _RETENTION_PART
+        limit = self.settings.retention_records // _RETENTION_DIVISOR
         return bool(limit) and version - self.as_of >= limit
 
     def _delay_ms(self, live: Iterable[str]) -> int:
-        # The salt moves the task to another node with every snapshot.
+        # The salt changes with every snapshot, so that the writers change too.
         rank = rank_of(self.node, live, salt=f"snapshot-{self.as_of}")
         step_ms = self.settings.rank_delay_ms
         return rank * step_ms + self.rng.randint(0, step_ms // 2)
@@ -292,10 +296,10 @@
 
 @attrs.frozen
 class Recovery:
-    """Where a node can start again after records were trimmed.
+    """State from which a node can continue after the log was trimmed.
 
     Attributes:
-        state: State that a snapshot carries.
+        state: State of the snapshot.
         record: The snapshot.
     """
 
@@ -306,20 +310,21 @@
 def usable_snapshot(
     record: SnapshotRecord, offset: int, first_kept: int, version: int
 ) -> Recovery | None:
-    """Tells whether a node can start again from a snapshot in the log.
+    """Returns the recovery from a snapshot in the log if it is usable.
 
-    A snapshot written by a node that was paused for long may be older than
-    the oldest record that is kept: between the two, records are missing, and
-    a node that started from it could never go on.
+    A snapshot written by a node that was paused for a long time may be older
+    than the oldest retained record. Records between the two are missing, so
+    that a node that started from this snapshot could not apply any more
+    records.
 
     Args:
         record: The snapshot.
-        offset: Its offset.
-        first_kept: Offset of the oldest record that is kept.
-        version: The node's own version, below which it never goes.
+        offset: The snapshot's offset.
+        first_kept: Offset of the oldest retained record.
+        version: The node's own version, which must never decrease.
 
     Returns:
-        The recovery, None where the snapshot is of no use.
+        The recovery, None if the snapshot is not usable.
     """
     if not max(first_kept, version + 1) <= record.as_of <= offset:
         return None
--- a/packages/pomelobank-core/src/pomelobank_core/_validation.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_validation.py
@@ -1,4 +1,4 @@
-"""Checks a transaction and the configuration that it leads to."""
+"""Validates a transaction and the configuration that results from it."""
 
 import enum
 from collections.abc import Collection, Iterable, Iterator, Mapping
@@ -23,7 +23,7 @@
 
 
 class ProblemKind(enum.Enum):
-    """Why a change is rejected."""
+    """Kinds of reasons for which a change is rejected."""
 
     EMPTY_CHANGE = "empty_change"
     MALFORMED_OPERATION = "malformed_operation"
@@ -40,10 +40,15 @@
 class Problem:
     """One reason for a rejection.
 
+    Messages are stored in the audit part of snapshots, and nodes compare their
+    audit entries with those of a snapshot of the same version. A changed
+    message text therefore makes nodes of different builds report
+    `config.snapshot_differs`.
+
     Attributes:
-        kind: Its kind.
+        kind: Kind of the problem.
         object: Key of the object concerned, as text.
-        message: What is wrong and what would be right.
+        message: Describes the invalid value and the valid ones.
     """
 
     kind: ProblemKind
@@ -52,17 +57,17 @@
 
 
 def check_objects(objects: Objects) -> tuple[Problem, ...]:
-    """Checks that a whole configuration is consistent in itself.
+    """Checks that a complete configuration is consistent.
 
-    A route that points at a service or upstream which does not exist would
-    send callers' requests nowhere; since this check runs on the outcome of the
-    whole transaction, no order of operations can bring such a route in force.
+    Requests of a route that refers to a missing service or upstream could not
+    be forwarded. The check runs on the result of the whole transaction, so that
+    no order of operations can bring such a route into force.
 
     Args:
-        objects: Every object of the configuration.
+        objects: All objects of the configuration.
 
     Returns:
-        The problems, none where the configuration is consistent.
+        The problems; empty if the configuration is consistent.
     """
     problems: list[Problem] = []
     for key, item in objects.items():
@@ -74,20 +79,20 @@
 def check_touched(
     objects: Objects, touched: Collection[ObjectKey]
 ) -> tuple[Problem, ...]:
-    """Checks what a transaction may have broken.
+    """Checks the objects that a transaction may have made inconsistent.
 
-    Checking all of a large configuration takes milliseconds for each record;
-    a node that starts replays thousands of records. What was consistent
-    before can only have been broken in the objects that the transaction wrote
-    or removed and in those that refer to them.
+    A check of a large configuration takes milliseconds for each record, and a
+    node that starts replays thousands of records. In a configuration that was
+    consistent before, a transaction can only make those objects inconsistent
+    that the transaction wrote or removed, and those that refer to these.
 
     Args:
-        objects: Every object after the transaction; before it they were
-            consistent.
+        objects: All objects after the transaction. The objects before the
+            transaction must have been consistent.
         touched: Keys of the objects written or removed.
 
     Returns:
-        The same problems as the check of everything.
+        The same problems as `check_objects`.
     """
     problems: list[Problem] = []
     for key in _affected(objects, touched):
@@ -113,7 +118,7 @@
     return [
         key
         for key, item in objects.items()
-        if key in touched or _refers(item.value, services, upstreams)
+        if key in touched or _refers_to_any(item.value, services, upstreams)
     ]
 
 
@@ -121,7 +126,7 @@
     return frozenset(key.name for key in keys if key.kind is kind)
 
 
-def _refers(
+def _refers_to_any(
     value: ConfigObject, services: frozenset[str], upstreams: frozenset[str]
 ) -> bool:
     if isinstance(value, RouteObject):
@@ -144,14 +149,14 @@
     key: ObjectKey, upstream: UpstreamObject, objects: Objects
 ) -> Iterator[Problem]:
     if ObjectKey(ObjectKind.SERVICE, upstream.service) not in objects:
-        yield _missing(key, ObjectKind.SERVICE, upstream.service)
+        yield _missing_reference(key, ObjectKind.SERVICE, upstream.service)
 
 
 def _check_route(
     key: ObjectKey, route: RouteObject, objects: Objects
 ) -> Iterator[Problem]:
     if ObjectKey(ObjectKind.SERVICE, route.service) not in objects:
-        yield _missing(key, ObjectKind.SERVICE, route.service)
+        yield _missing_reference(key, ObjectKind.SERVICE, route.service)
     if not route.path_prefix.startswith("/"):
         yield Problem(
             ProblemKind.BAD_PREFIX,
@@ -173,7 +178,7 @@
 ) -> Iterator[Problem]:
     found = objects.get(ObjectKey(ObjectKind.UPSTREAM, name))
     if found is None:
-        yield _missing(key, ObjectKind.UPSTREAM, name)
+        yield _missing_reference(key, ObjectKind.UPSTREAM, name)
     elif (
         isinstance(found.value, UpstreamObject)
         and found.value.service != route.service
@@ -186,7 +191,7 @@
         )
 
 
-def _missing(key: ObjectKey, kind: ObjectKind, name: str) -> Problem:
+def _missing_reference(key: ObjectKey, kind: ObjectKind, name: str) -> Problem:
     return Problem(
         ProblemKind.MISSING_REFERENCE,
         str(key),
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_routing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes: what may run again, and who gets which part."""
+"""Routes: idempotent methods, prefix matching and weighted upstreams."""
 
 from collections import Counter
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("repeatable", "method", "may"),
+    ("repeatable", "method", "idempotent"),
     [
         pytest.param("", "GET", True, id="look-up"),
         pytest.param("", "POST", False, id="order"),
@@ -32,11 +32,14 @@
         pytest.param("never", "GET", False, id="look-up that may not"),
     ],
 )
-def test_a_route_says_what_may_run_again(
-    repeatable: str, method: str, may: bool
+def test_a_route_decides_which_methods_are_idempotent(
+    repeatable: str, method: str, idempotent: bool
 ) -> None:
-    """The method alone tells little of what a service does with a request."""
-    assert is_idempotent(route(repeatable=repeatable), method) is may
+    """A service may run a POST twice safely, or a GET only once.
+
+    If only the method decided, such requests would be retried wrongly.
+    """
+    assert is_idempotent(route(repeatable=repeatable), method) is idempotent
 
 
 @pytest.mark.parametrize(
@@ -57,17 +60,17 @@
 @pytest.mark.parametrize(
     ("available", "green"),
     [
-        pytest.param(None, (60, 140), id="parts are kept"),
-        pytest.param(frozenset({"green"}), (1000, 1000), id="parts move"),
+        pytest.param(None, (60, 140), id="shares are kept"),
+        pytest.param(frozenset({"green"}), (1000, 1000), id="shares move"),
     ],
 )
-def test_the_part_of_an_upstream_without_targets(
+def test_the_share_of_an_upstream_without_targets(
     available: frozenset[str] | None, green: tuple[int, int]
 ) -> None:
-    """Every target of the larger part of a split is gone.
+    """All targets of the upstream with the larger weight are gone.
 
-    Where parts are kept, the smaller service is not run over by work that its
-    operator never meant for it.
+    If upstreams keep their shares, the smaller upstream is not overloaded by
+    requests that its operator never assigned to that upstream.
     """
     counts = Counter(
         pick_upstream(route(), available, str(number)) for number in range(1000)
@@ -81,11 +84,11 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(strategies.lists(PATHS, max_size=6, unique=True), PATHS)
-def test_a_look_up_finds_what_a_comparison_with_each_route_finds(
+def test_prefix_lookup_equals_a_scan_of_all_routes(
     prefixes: list[str], path: str
 ) -> None:
     table = RouteTable.of_routes(7, [route(prefix) for prefix in prefixes])
     matching = [prefix for prefix in prefixes if has_prefix(path, prefix)]
     found = table.match("shop", path)
-    wanted = max(matching, key=len, default=None)
-    assert (found.path_prefix if found else None) == wanted
+    expected = max(matching, key=len, default=None)
+    assert (found.path_prefix if found else None) == expected
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_shifting.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_shifting.py
@@ -1,4 +1,4 @@
-"""Weights between upstreams: shares, stability and unavailability."""
+"""Weighted upstreams: shares, changes of weights, unavailable upstreams."""
 
 from collections import Counter
 
@@ -37,8 +37,12 @@
     assert abs(counts["new"] - 2000) < 200
 
 
-def test_shift_moves_no_more_than_it_must() -> None:
-    """Work is shifted by a tenth while requests are being sent again."""
+def test_weight_change_moves_only_the_necessary_requests() -> None:
+    """Weights change by a tenth while requests are being retried.
+
+    If more requests changed their upstream than the weights require, attempts
+    of one request would reach both upstreams.
+    """
     before = _picks(_route(old=90, new=10), ALL)
     after = _picks(_route(old=80, new=20), ALL)
     moved = [
@@ -49,7 +53,10 @@
 
 
 def test_upstream_without_targets_loses_its_weight() -> None:
-    """All targets of the new upstream are gone in the middle of a shift."""
+    """All targets of the new upstream fail during a traffic shift.
+
+    If the upstream kept its weight, half of the requests would have no target.
+    """
     route = _route(old=50, new=50, other=0)
     assert set(_picks(route, ALL)) == {"old", "new"}
     assert set(_picks(route, frozenset({"old", "other"}))) == {"old"}
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_snapshots.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots carry the whole state and outlive retention."""
+"""Snapshots contain the complete state and are written within retention."""
 
 import random
 
@@ -71,7 +71,7 @@
     return state
 
 
-def through_the_log(record: SnapshotRecord) -> SnapshotRecord:
+def encode_and_decode(record: SnapshotRecord) -> SnapshotRecord:
     found = decode(encode(record), records.KINDS)
     assert isinstance(found, SnapshotRecord)
     return found
@@ -79,25 +79,26 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(change(), max_size=12), st.integers(0, 12))
-def test_a_snapshot_in_the_middle_changes_nothing(
+def test_replay_from_a_snapshot_equals_full_replay(
     changes: list[ChangeRecord], cut: int
 ) -> None:
-    """A node that was away for long starts again from a snapshot.
+    """A node that was stopped for a long time restarts from a snapshot.
 
-    If it forgot a change id or a rejection, it would apply a repeated change
-    that all others pass over, and route differently for good.
+    If the snapshot lacked a change id or a rejection, the node would apply a
+    repeated change that all other nodes skip. The node's routes would then
+    permanently differ.
     """
-    whole = replay(ConfigState(), changes)
+    full = replay(ConfigState(), changes)
     first = replay(ConfigState(), changes[:cut])
-    record = through_the_log(snapshot_record(first, "n", 5))
+    record = encode_and_decode(snapshot_record(first, "n", 5))
     restored = restore_snapshot(record).unwrap()
-    assert replay(restored, changes[cut:]) == whole
+    assert replay(restored, changes[cut:]) == full
 
 
 def test_a_snapshot_with_a_bad_route_is_refused() -> None:
-    """A faulty writer could leave out a service that a route needs.
+    """A faulty writer omits a service that a route refers to.
 
-    Callers of that route would be sent nowhere.
+    Requests of that route could not be forwarded.
     """
     changes = [
         ChangeRecord(
@@ -117,13 +118,13 @@
     [
         pytest.param(10, 10, 8, 3, True, id="fresh"),
         pytest.param(8, 12, 8, 3, True, id="just-kept"),
-        pytest.param(7, 12, 8, 3, False, id="gap-behind-it"),
-        pytest.param(13, 12, 8, 3, False, id="claims-the-future"),
-        pytest.param(10, 12, 8, 10, False, id="no-news"),
+        pytest.param(7, 12, 8, 3, False, id="records-missing-after-it"),
+        pytest.param(13, 12, 8, 3, False, id="ahead-of-its-offset"),
+        pytest.param(10, 12, 8, 10, False, id="not-newer"),
         pytest.param(10, 12, 8, 11, False, id="older-than-own"),
     ],
 )
-def test_usable(
+def test_usable_snapshot(
     as_of: int, offset: int, first_kept: int, version: int, usable: bool
 ) -> None:
     state = ConfigState()
@@ -155,10 +156,10 @@
         pytest.param(30, 0, True, id="a-third-of-the-records"),
         pytest.param(1, 29_999, False, id="young"),
         pytest.param(1, 30_000, True, id="a-third-of-the-time"),
-        pytest.param(0, 90_000, False, id="nothing-to-keep"),
+        pytest.param(0, 90_000, False, id="no-records"),
     ],
 )
-def test_due(version: int, now_ms: int, due: bool) -> None:
+def test_snapshot_is_due(version: int, now_ms: int, due: bool) -> None:
     schedule = schedules(1)["n0"]
     schedule.should_write(1, ["n0"], 0)
     schedule.due_ms = None
@@ -166,14 +167,14 @@
     assert (schedule.due_ms is not None) is due
 
 
-def test_one_node_writes_and_the_others_see_it() -> None:
+def test_only_one_node_writes_a_snapshot() -> None:
     nodes = schedules(50)
     writers = []
     for now_ms in range(0, 5000, 100):
         for name, schedule in nodes.items():
             if schedule.should_write(40, list(nodes), now_ms):
                 writers.append(name)
-        # It reaches the others a little later.
+        # The other nodes read the snapshot a little later.
         if writers and now_ms % 500 == 0:
             record = SnapshotRecord(as_of=40, at_ms=now_ms)
             for other in nodes.values():
@@ -182,10 +183,10 @@
 
 
 def test_a_dead_writer_is_replaced() -> None:
-    """The node whose turn comes first may die before it has written.
+    """The node whose turn comes first dies before it writes a snapshot.
 
-    Without a next in turn the log would drop records that no snapshot holds,
-    and a node that starts later could never get the configuration.
+    If no other node wrote one, the log would trim records that no snapshot
+    contains. A node that starts later could then not get the configuration.
     """
     nodes = schedules(3)
     live = list(nodes)
@@ -196,11 +197,15 @@
             nodes[name].due_ms or 0,
         ),
     )
-    rest = [item for name, item in nodes.items() if name != first]
-    assert any(item.should_write(40, live, 4000) for item in rest)
+    remaining = [item for name, item in nodes.items() if name != first]
+    assert any(item.should_write(40, live, 4000) for item in remaining)
 
 
-def test_a_clock_ahead_does_not_put_the_next_snapshot_off() -> None:
+def test_a_fast_clock_does_not_delay_the_next_snapshot() -> None:
+    """A writer's wall clock is far ahead, so its snapshot has a negative age.
+
+    If nodes used that age, no node would write the next snapshot in time.
+    """
     schedule = schedules(1)["n0"]
     schedule.on_snapshot(SnapshotRecord(as_of=5, at_ms=10**15), 1000, 1000)
     assert not schedule.should_write(6, ["n0"], 30_999)
@@ -209,11 +214,11 @@
     assert schedule.due_ms is not None
 
 
-def test_a_fleet_that_is_replaced_all_the_time_still_writes() -> None:
+def test_a_fleet_of_short_lived_nodes_writes_snapshots() -> None:
     """Every node is replaced before a third of the retention has passed.
 
-    If each new one counted from its own start, no snapshot would ever be
-    written, the log would drop records, and nobody could start any more.
+    If each new node measured the age from its own start, no node would write a
+    snapshot, the log would trim records, and no further node could start.
     """
     age_ms = 0
     for _ in range(4):
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_validation.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_validation.py
@@ -1,10 +1,14 @@
-"""The check of what a transaction touched finds what the whole check finds."""
+"""Checks of touched objects find the same problems as complete checks."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from pomelobank_core import ConfigState, check_objects, replay_change
-from pomelobank_core._replay import _apply_operation, _copied, _touched
+from pomelobank_core._replay import (
+    _apply_operation,
+    _mutable_copy,
+    _touched_keys,
+)
 from pomelobank_core._validation import check_touched
 from pomelobank_schema.generated.records import (
     ChangeRecord,
@@ -76,21 +80,23 @@
 
 @settings(max_examples=300, deadline=None)
 @given(CHANGES)
-def test_same_problems(changes: list[list[OperationRecord]]) -> None:
-    """A change removes an upstream that a route elsewhere still needs.
+def test_touched_check_equals_complete_check(
+    changes: list[list[OperationRecord]],
+) -> None:
+    """A change removes an upstream that an unchanged route refers to.
 
-    If only the changed objects were looked at, the route would come into
-    force and its callers would be sent nowhere.
+    If only the changed objects were checked, the change would be accepted, and
+    requests of that route could not be forwarded.
     """
     state = ConfigState()
     for offset, operations in enumerate([BASE, *changes]):
         record = ChangeRecord(
             change_id=str(offset), operations=tuple(operations)
         )
-        objects = _copied(state.snapshot.objects)
+        objects = _mutable_copy(state.snapshot.objects)
         for item in operations:
             _apply_operation(objects, item, offset + 1)
-        found = check_touched(objects, _touched(record))
+        found = check_touched(objects, _touched_keys(record))
         assert set(found) == set(check_objects(objects))
         state = replay_change(state, offset, record)
         assert check_objects(state.snapshot.objects) == ()
