--- a/packages/pomelobank-core/src/pomelobank_core/__init__.py
+++ b/packages/pomelobank-core/src/pomelobank_core/__init__.py
@@ -1,8 +1,8 @@
-"""Decisions of pomelobank, without sockets or a real clock.
+"""Decision logic of pomelobank, without sockets or a real clock.
 
-A name is loaded from its module when it is first used. A node on a platform
-that keeps configuration and keys itself needs half of them, and loading all
-took 60 of its 400 ms to start.
+Each name of this package is imported lazily, on first use. A node on a platform
+that stores configuration and keys itself needs only half of the names, and
+importing all of them took 60 of the 400 ms of the node's start.
 """
 
 import importlib
@@ -577,16 +577,16 @@
         "check_objects",
     ),
 }
-_HOMES = {
+_MODULE_BY_NAME = {
     name: module for module, names in _NAMES_BY_MODULE.items() for name in names
 }
 
 
 def __getattr__(name: str) -> Any:
-    """Loads one of the package's names."""
-    if name not in _HOMES:
-        raise AttributeError(f"{__name__} has no {name}")
-    module = importlib.import_module(f"{__name__}.{_HOMES[name]}")
+    """Imports a name of the package on first use."""
+    if name not in _MODULE_BY_NAME:
+        raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
+    module = importlib.import_module(f"{__name__}.{_MODULE_BY_NAME[name]}")
     value = getattr(module, name)
     globals()[name] = value
     return value
--- a/packages/pomelobank-core/src/pomelobank_core/_distribution.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_distribution.py
@@ -1,13 +1,15 @@
-"""Decides who reads the log and who passes configuration on to whom.
-
-In each data centre all live members are put in one order by hash. The first
-few are the readers: they watch the log. Behind them the members form a tree in
-which each passes new records on to a few others at once. A second tree, over
-the same order turned round, carries only the news that there is a version;
-whoever misses it pulls. A member that is inside one tree is a leaf of the
-other, and readers cover for one another, so that no single dead or paused
-member keeps records from the others.
-Views of the members may differ: each difference costs a message or a read.
+"""Selects the nodes that read the log and the peers that each node notifies.
+
+In each data centre, all live members are sorted by a hash. The first few
+members are the readers, which read the log with long polls. The members form a
+tree below the readers, in which each member pushes new records to a few others
+at once. A second tree, over the reversed order, carries only digests that
+announce a new version; a member without the version pulls the records. An inner
+member of one tree is a leaf of the other one, and readers also notify the
+members below the next reader. Therefore, no single dead or paused member keeps
+records from the others.
+The nodes' member lists may differ; each difference costs an additional message
+or read.
 """
 
 import random
@@ -24,23 +26,26 @@
 _ORDER_SALT = "reader"
 _LIVE = frozenset({MemberState.STARTING.value, MemberState.READY.value})
 
-# The news of a version usually overtakes the records themselves by a hop;
-# waiting this long before pulling saves sending most records twice.
+# Delay of a pull after a digest that announces a new version. The digest
+# usually arrives one hop before the pushed records. Without the delay, most
+# records would be sent twice.
 NEWS_DELAY_MS = 25
-# A pull that was sent to a member that died is repeated after this time.
+# Time after which an unanswered pull, for example to a dead member, may be
+# repeated.
 PULL_PATIENCE_MS = 250
 
-# Made for hundreds of nodes that lose the log in one instant. Waiting a random
-# part of a doubling limit spreads their return over the limit; without it they
-# would come back together and take the log down again. The first limit keeps a
-# single lost answer cheap, the last one bounds the delay after an outage.
+# Limits of the random pause after a failed read of the log. When hundreds of
+# nodes lose the log at the same instant, random pauses up to a doubling limit
+# spread their next reads; otherwise, a thundering herd of simultaneous reads
+# would overload the log again. The first limit keeps the delay after a single
+# lost response short, and the maximum limits the delay after an outage.
 FIRST_RETRY_MS = 50
 MAX_RETRY_MS = 5000
 
 
 @attrs.frozen
 class PushRecords:
-    """Send records to a peer.
+    """Action: push records to a peer.
 
     Attributes:
         address: The peer's address.
@@ -53,11 +58,12 @@
 
 @attrs.frozen
 class SendDigest:
-    """Tell a peer the own version.
+    """Action: send a digest with the node's own version to a peer.
 
     Attributes:
         address: The peer's address.
-        heartbeat: Whether it is the regular one.
+        heartbeat: Whether the digest is a periodic heartbeat, not the
+            announcement of a new version.
     """
 
     address: str
@@ -66,12 +72,12 @@
 
 @attrs.frozen
 class PullRecords:
-    """Ask a peer for records, unless they arrive before.
+    """Action: pull records from a peer unless they arrive before.
 
     Attributes:
         address: The peer's address.
         version: Version that the peer has.
-        delay_ms: How long to wait for another peer's push first.
+        delay_ms: Time to wait for another peer's push before the pull.
     """
 
     address: str
@@ -84,11 +90,11 @@
 
 @attrs.frozen
 class ReadPlan:
-    """When to read the log next.
+    """Time and mode of the next read of the log.
 
     Attributes:
-        pause_ms: How long to wait before deciding again; 0 to read now.
-        wait_ms: How long the log may hold back an empty answer.
+        pause_ms: Time to wait before the next decision; 0 to read now.
+        wait_ms: Time for which the log may delay an empty response (long poll).
     """
 
     pause_ms: int
@@ -102,9 +108,9 @@
     Attributes:
         is_reader: Whether the node is one of its data centre's readers.
         push_to: Addresses that get new records at once.
-        notify: Addresses that get the news of a new version.
-        remote: Addresses in other data centres, one of which gets each
-            heartbeat.
+        notify: Addresses that get a digest of a new version.
+        remote: Addresses in other data centres; one of them, drawn at random,
+            gets each heartbeat.
     """
 
     is_reader: bool = True
@@ -118,7 +124,7 @@
     others: Iterable[MemberEntry],
     settings: DistributionSettings,
 ) -> Neighbours:
-    """Works out a node's neighbours from the members that it knows.
+    """Computes a node's neighbours from the members that the node knows.
 
     Args:
         own: The node's own entry.
@@ -137,26 +143,30 @@
         if item.data_centre == own.data_centre
     }
     order = rendezvous_order([*addresses, own.node], _ORDER_SALT)
-    place = order.index(own.node)
+    position = order.index(own.node)
     readers = min(settings.readers, len(order))
-    children = _children(order, place, readers, settings.fan_out)
-    tell = _children(order[::-1], len(order) - 1 - place, 1, settings.fan_out)
-    if place < readers:
-        # Readers cover for one another: each tells the members that the next
-        # one feeds, and the second tree's root, which nobody else tells.
-        tell += order[:readers] + order[-1:]
-        following = (place + 1) % readers
-        tell += _children(order, following, readers, settings.fan_out)
-    told = dict.fromkeys(tell)
+    children = _children(order, position, readers, settings.fan_out)
+    to_notify = _children(
+        order[::-1], len(order) - 1 - position, 1, settings.fan_out
+    )
+    if position < readers:
+        # Each reader also notifies the other readers and the children of the
+        # next reader, so that a dead or paused reader keeps no records from
+        # other members. Readers notify the root of the second tree, because no
+        # other member does.
+        to_notify += order[:readers] + order[-1:]
+        next_reader = (position + 1) % readers
+        to_notify += _children(order, next_reader, readers, settings.fan_out)
+    unique_nodes = dict.fromkeys(to_notify)
     return Neighbours(
-        is_reader=place < readers,
+        is_reader=position < readers,
         push_to=tuple(addresses[node] for node in children),
         notify=tuple(
             addresses[node]
-            for node in told
+            for node in unique_nodes
             if node != own.node and node not in children
         ),
-        remote=_elsewhere(own, live, settings.fan_out),
+        remote=_remote_peers(own, live, settings.fan_out),
     )
 
 
@@ -169,17 +179,18 @@
 
 
 def _children(
-    order: list[str], place: int, roots: int, fan_out: int
+    order: list[str], position: int, roots: int, fan_out: int
 ) -> list[str]:
-    first = roots + place * fan_out
+    first = roots + position * fan_out
     return order[first : first + fan_out]
 
 
-def _elsewhere(
+def _remote_peers(
     own: MemberEntry, live: list[MemberEntry], limit: int
 ) -> tuple[str, ...]:
-    # Few and always the same, so that a node keeps few streams open; chosen
-    # by its own name, so that all nodes together cover every data centre.
+    # A node always chooses the same few peers, so that few streams stay open.
+    # The node's own id is the salt, so that the choices of all nodes together
+    # include every data centre.
     addresses = {
         item.node: item.peer_address
         for item in live
@@ -191,20 +202,21 @@
 
 @attrs.define
 class Distribution:
-    """A node's part in bringing the configuration to every node.
+    """Decides when one node reads the log and what the node sends to peers.
 
     Attributes:
         settings: Numbers of readers and peers, and times.
-        long_poll_ms: Longest time one read of the log waits.
+        long_poll_ms: Maximum time for which one read of the log waits.
         rng: Source of randomness.
-        neighbours: The peers it sends to.
-        known_version: Highest version heard of, of any node.
-        log_read_ms: When any node last read the log, as far as is known.
-        retry_limit_ms: Limit of the next pause after a failed read.
+        neighbours: Peers that the node sends configuration to.
+        known_version: Highest known version of any node.
+        log_read_ms: Time of the newest known read of the log by any node.
+        retry_limit_ms: Limit of the random pause after the next failed read.
         failing: Whether the node's own last read failed.
-        reached_end: Whether the log's end was read once.
+        reached_end: Whether the node has read the log up to its end once.
         read_due_ms: Earliest time of the next read, None while none is due.
-        pull_until_ms: Until when the answer to a pull is waited for.
+        pull_until_ms: Time until which no further pull is sent, because the
+            response to the last one is expected.
         live: Nodes and addresses that the neighbours were chosen from.
     """
 
@@ -224,12 +236,12 @@
     def update_members(
         self, own: MemberEntry, others: Iterable[MemberEntry]
     ) -> None:
-        """Takes the members that the node knows now."""
+        """Updates the neighbours from the present members."""
         others = list(others)
         for entry in others:
             self.known_version = max(self.known_version, entry.version)
-        # Putting a thousand members in order takes some milliseconds, and at
-        # rest nothing changes from one heartbeat to the next.
+        # Sorting a thousand members takes some milliseconds, and the members of
+        # an idle mesh do not change between two heartbeats.
         live = _live_members(others)
         if live == self.live:
             return
@@ -242,10 +254,11 @@
     def next_read(self, now_ms: int) -> ReadPlan:
         """Decides when to read the log next.
 
-        Readers always keep one read open. Everybody else reads only where no
-        node is known to have read for a while: then the view of who is a
-        reader may be wrong, or all readers have died at once. The pause is
-        random, so that the first few reads tell all others before their turn.
+        A reader always has one read open. Any other node reads only if no read
+        by any node is known for `silence_ms`: either the member lists differ,
+        so that no node is a reader, or all readers failed at once. The pause
+        before such a read is random, so that the other nodes learn of the first
+        few reads before their own pauses end.
 
         Args:
             now_ms: Monotonic time.
@@ -253,34 +266,37 @@
         Returns:
             The plan.
         """
-        watching = self._is_watching()
-        if not watching and not self._is_silent(now_ms):
+        polling = self._is_polling()
+        if not polling and not self._is_read_overdue(now_ms):
             self.read_due_ms = None
             return ReadPlan(pause_ms=self.settings.heartbeat_ms)
         if self.read_due_ms is None:
-            pause_ms = 0 if watching else self._fallback_ms()
+            pause_ms = 0 if polling else self._fallback_ms()
             self.read_due_ms = now_ms + pause_ms
-        left_ms = self.read_due_ms - now_ms
-        if left_ms > 0:
-            return ReadPlan(pause_ms=min(left_ms, self.settings.heartbeat_ms))
-        # The first reads must tell where the log ends, at once; after that a
-        # watcher always waits, or a node that cannot get ready would call the
-        # log without a pause.
-        wait = watching and self.reached_end
-        return ReadPlan(0, self.long_poll_ms if wait else 0)
+        remaining_ms = self.read_due_ms - now_ms
+        if remaining_ms > 0:
+            return ReadPlan(
+                pause_ms=min(remaining_ms, self.settings.heartbeat_ms)
+            )
+        # The first reads do not wait, because the node needs the end offset of
+        # the log at once. After that, a polling node always uses long polls;
+        # otherwise, a node that cannot become ready would read the log without
+        # a pause.
+        long_poll = polling and self.reached_end
+        return ReadPlan(0, self.long_poll_ms if long_poll else 0)
 
     def is_log_reachable(self, now_ms: int) -> bool:
-        """Tells whether the log looks up, from here or from what peers told."""
-        if self._is_watching():
+        """Returns whether the log responds, to this node or to its peers."""
+        if self._is_polling():
             return not self.failing and self.log_read_ms is not None
-        return not self._is_silent(now_ms)
+        return not self._is_read_overdue(now_ms)
 
-    def _is_watching(self) -> bool:
+    def _is_polling(self) -> bool:
         return (
             self.settings.mode == EVERY_NODE_POLLS or self.neighbours.is_reader
         )
 
-    def _is_silent(self, now_ms: int) -> bool:
+    def _is_read_overdue(self, now_ms: int) -> bool:
         age_ms = self.log_age_ms(now_ms)
         return age_ms < 0 or age_ms > self.settings.silence_ms
 
@@ -288,15 +304,15 @@
         return self.rng.randint(1, self.settings.fallback_ms)
 
     def log_age_ms(self, now_ms: int) -> int:
-        """Returns the time since the newest known read; -1 for none."""
+        """Returns the time since the newest known read; -1 without one."""
         return -1 if self.log_read_ms is None else now_ms - self.log_read_ms
 
     def on_log_read(self, now_ms: int, at_end: bool) -> None:
-        """Notes that the node read the log.
+        """Records a successful read of the log by this node.
 
         Args:
             now_ms: Monotonic time.
-            at_end: Whether the node has all that the log holds.
+            at_end: Whether the node has read all records of the log.
         """
         self.log_read_ms = now_ms
         self.failing = False
@@ -305,7 +321,7 @@
         self.read_due_ms = None
 
     def on_log_read_failed(self, now_ms: int) -> None:
-        """Notes that a read of the log failed."""
+        """Records a failed read of the log and schedules the next one."""
         self.failing = True
         limit_ms = self.retry_limit_ms
         self.retry_limit_ms = min(2 * limit_ms, MAX_RETRY_MS)
@@ -316,15 +332,15 @@
     def on_applied(
         self, before: int, version: int, source: str = ""
     ) -> list[DistributionAction]:
-        """Passes on what the node has just applied.
+        """Handles new records that the node has applied.
 
         Args:
-            before: Version before.
-            version: Version now.
-            source: Address of the peer it came from; empty for the log.
+            before: Version before the records.
+            version: Version after the records.
+            source: Address of the peer that sent them; empty for the log.
 
         Returns:
-            What to send.
+            Pushes and digests for the neighbours, except for the source.
         """
         self.known_version = max(self.known_version, version)
         self.pull_until_ms = 0
@@ -335,15 +351,15 @@
             for address in self.neighbours.push_to
             if address != source
         ]
-        news = [
+        digests = [
             SendDigest(address, heartbeat=False)
             for address in self.neighbours.notify
             if address != source
         ]
-        return [*pushes, *news]
+        return [*pushes, *digests]
 
     def heartbeat(self) -> list[DistributionAction]:
-        """Returns the regular digests."""
+        """Returns the periodic digests."""
         if self.settings.mode == EVERY_NODE_POLLS:
             return []
         targets = [*self.neighbours.push_to, *self.neighbours.notify]
@@ -354,7 +370,7 @@
     def on_digest(
         self, digest: VersionDigest, version: int, now_ms: int
     ) -> list[DistributionAction]:
-        """Takes a peer's digest.
+        """Handles a peer's digest.
 
         Args:
             digest: The digest.
@@ -362,9 +378,10 @@
             now_ms: Monotonic time.
 
         Returns:
-            A pull where the peer is ahead, news where it is behind.
+            A pull if the peer's version is newer; a digest if the peer's
+            version is older and the peer's digest is a heartbeat.
         """
-        self._hear_log_age(digest.log_age_ms, now_ms)
+        self._update_log_age(digest.log_age_ms, now_ms)
         known = max(digest.version, digest.heard_version)
         self.known_version = max(self.known_version, known)
         if self.settings.mode == EVERY_NODE_POLLS or not digest.address:
@@ -372,13 +389,14 @@
         if digest.version > version:
             return self._pull(digest, now_ms)
         if digest.version < version and digest.heartbeat:
-            # All its neighbours hear that a node is behind, after a herd
-            # restart of many nodes. If each sent what is missing, it would
-            # arrive many times over; told of it, the node asks one of them.
+            # After a simultaneous restart of many nodes, all neighbours of an
+            # outdated node receive its heartbeat. If each neighbour pushed the
+            # missing records, the records would arrive many times. After a
+            # digest, the node pulls them from one neighbour.
             return [SendDigest(digest.address, heartbeat=False)]
         return []
 
-    def _hear_log_age(self, age_ms: int, now_ms: int) -> None:
+    def _update_log_age(self, age_ms: int, now_ms: int) -> None:
         if age_ms < 0:
             return
         read_ms = now_ms - age_ms
@@ -388,8 +406,8 @@
     def _pull(
         self, digest: VersionDigest, now_ms: int
     ) -> list[DistributionAction]:
-        # After a change, several peers tell of it within a few ms; one answer
-        # is enough.
+        # After a change, several peers send digests within a few ms, and the
+        # records are needed from only one of them.
         if now_ms < self.pull_until_ms:
             return []
         self.pull_until_ms = now_ms + PULL_PATIENCE_MS
--- a/packages/pomelobank-core/src/pomelobank_core/_min_serving_version.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_min_serving_version.py
@@ -1,4 +1,4 @@
-"""The version below which a starting node must not serve callers."""
+"""Minimum version at which a starting node may serve callers."""
 
 import attrs
 
@@ -7,21 +7,22 @@
 class MinServingVersion:
     """Decides when a starting node may serve callers.
 
-    A node keeps nothing when it stops. If it served as soon as it has any
-    configuration, a caller could be routed by an older version than the same
-    node used before its restart. So it first learns what the others have: from
-    the end of the log, or, while the log does not answer, from peers that
-    serve. Peers that have just started themselves are no witnesses: after a
-    herd restart they would confirm each other in whatever old version the
-    first of them came by.
+    A node stores no state when it stops. If the node served callers with the
+    first configuration that it receives, requests could be routed by an older
+    version than the one that the same node used before its restart. Therefore,
+    the node first learns the newest version from the end of the log or, while
+    the log does not respond, from peers that serve callers. Versions from peers
+    that have just started are not sufficient: after a restart of all nodes, the
+    peers would agree on the outdated version that one of them received first.
 
     Attributes:
-        settle_ms: Time for which peers' versions are gathered while the log
-            does not answer.
-        known_version: Highest version that was heard of; it never falls.
-        reached_log_end: Whether the log's end was read once.
-        first_ready_ms: When the first peer that serves told its version.
-        ready: Whether the node may serve; once set it stays.
+        settle_ms: Time for which peers' versions are collected while the log
+            does not respond.
+        known_version: Highest known version; never decreases.
+        reached_log_end: Whether the node has read the log up to its end once.
+        first_ready_ms: Time of the first version from a peer that serves
+            callers.
+        ready: Whether the node may serve callers; never reset.
     """
 
     settle_ms: int
@@ -31,10 +32,10 @@
     ready: bool = False
 
     def on_peer_version(self, version: int, ready: bool, now_ms: int) -> None:
-        """Notes the highest version that a peer has heard of.
+        """Records the highest version that a peer knows.
 
         Args:
-            version: That version.
+            version: The version.
             ready: Whether the peer serves callers.
             now_ms: Monotonic time.
         """
@@ -43,29 +44,29 @@
         self.on_version(version)
 
     def on_version(self, version: int) -> None:
-        """Notes a version that some node has, or had, in force."""
+        """Records a version that is or was in force on any node."""
         self.known_version = max(self.known_version, version)
 
     def on_log_read(self, version: int, end_offset: int) -> None:
-        """Notes how far a read of the log took the node.
+        """Records a read of the log.
 
         Args:
             version: The node's version after the read.
-            end_offset: Offset that the log's next append will get.
+            end_offset: Offset of the next append to the log.
         """
         self.on_version(end_offset)
         if version >= end_offset:
             self.reached_log_end = True
 
     def update(self, version: int, now_ms: int) -> bool:
-        """Tells whether the node may serve.
+        """Returns whether the node may serve callers.
 
         Args:
             version: The node's version.
             now_ms: Monotonic time.
 
         Returns:
-            Whether it may; once it may, it may for good.
+            Whether the node may serve; never False after True.
         """
         self.on_version(version)
         if not self.ready:
@@ -74,8 +75,9 @@
         return self.ready
 
     def _peers_settled(self, now_ms: int) -> bool:
-        # The first peer may have missed the newest change; a few heartbeats
-        # later it has passed on what it heard from the others.
+        # The first peer may not know the newest change. Within a few
+        # heartbeats, that peer has received the newest version from other
+        # members and sent it to this node.
         if self.first_ready_ms is None:
             return False
         return now_ms - self.first_ready_ms >= self.settle_ms
--- a/packages/pomelobank-core/src/pomelobank_core/_reading_order.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_reading_order.py
@@ -1,11 +1,11 @@
-"""Decides which nodes read the source of configurations for the others.
-
-Made for a source whose calls are dear and that may fail for some nodes only.
-In each data centre the members are put in one order; the first one is the
-relay, which keeps its neighbours informed. The relays of a few data centres are
-the readers, so that the number of reads grows neither with the nodes nor with
-the data centres, and no single data centre is needed. Views of the members may
-differ; each difference costs a read or a message.
+"""Elects the nodes that read the configuration source for all other nodes.
+
+The source's calls are expensive, and reads may fail for some nodes only. In
+each data centre, members are sorted; the first member is the relay, which
+notifies its neighbours. The relays of a few data centres are the readers.
+Therefore, the number of reads grows neither with the nodes nor with the data
+centres, and no single data centre is required. The nodes' member lists may
+differ; each difference costs an additional read or message.
 """
 
 import enum
@@ -17,21 +17,21 @@
 from pomelobank_core._members import MemberState, MemberTable
 from pomelobank_schema.generated.peer import MemberEntry
 
-# Nodes of the whole mesh that read. Each covers for the others while one that
-# went silent is not replaced yet.
+# Number of readers in the whole mesh. While an unresponsive reader is not
+# replaced yet, the other readers provide the configuration.
 READER_COUNT = 3
-# How long a node that cannot read is passed over. It tells so with every try,
-# at least once a second.
+# Time for which a node that cannot read is skipped. Such a node announces its
+# failure with every attempt, at least once a second.
 UNABLE_MS = 2500
 
 
 class ReadingRole(enum.Enum):
-    """What a node does for the others.
+    """Role of a node in the distribution of configurations.
 
     Attributes:
-        READER: It reads the source and informs all relays.
-        RELAY: It informs its neighbours of what readers tell.
-        FOLLOWER: It is informed.
+        READER: The node reads the source and notifies all relays.
+        RELAY: The node forwards notifications of readers to its neighbours.
+        FOLLOWER: The node only receives notifications.
     """
 
     READER = "reader"
@@ -41,14 +41,13 @@
 
 @attrs.define(eq=False)
 class ReadingOrder:
-    """Knows who reads, as far as this node can tell.
+    """Computes the roles of the nodes from this node's member table.
 
     Attributes:
         members: The members that the node knows.
-        unable: Until when nodes are passed over, by address.
-        ranked: The nodes of each data centre in their order, the own one
-            among them.
-        revision: The table's revision when they were ordered.
+        unable: Time until which a node is skipped, by address.
+        ranked: Sorted nodes of each data centre, including this node.
+        revision: Revision of the member table at the last sort.
     """
 
     members: MemberTable
@@ -57,30 +56,32 @@
     revision: int = -1
 
     def note_unable(self, address: str, now_ms: int) -> None:
-        """Takes note that a node cannot read."""
+        """Records that a node cannot read the source."""
         self.unable[address] = now_ms + UNABLE_MS
 
     def note_able(self, address: str) -> None:
-        """Takes note that a node has heard of a read."""
+        """Records that a node knows of a successful read."""
         self.unable.pop(address, None)
 
     def role(self, now_ms: int) -> ReadingRole:
-        """Returns what this node does for the others."""
+        """Returns the role of this node."""
         own = self.members.own
         relays = self._relays(now_ms)
         if relays[own.data_centre] is not own:
             return ReadingRole.FOLLOWER
-        return ReadingRole.READER if _reads(own, relays) else ReadingRole.RELAY
+        return (
+            ReadingRole.READER if _is_reader(own, relays) else ReadingRole.RELAY
+        )
 
     def has_local_reader(self, now_ms: int) -> bool:
-        """Tells whether a node of the own data centre reads."""
+        """Returns whether this node's data centre has a reader."""
         relays = self._relays(now_ms)
-        return _reads(relays[self.members.own.data_centre], relays)
+        return _is_reader(relays[self.members.own.data_centre], relays)
 
     def neighbours_ahead(self, now_ms: int) -> int:
-        """Returns how many neighbours come before this node."""
+        """Returns how many able neighbours precede this node in the order."""
         own = self.members.own
-        neighbours = self._ordered()[own.data_centre]
+        neighbours = self._ranked_by_centre()[own.data_centre]
         before = neighbours[: neighbours.index(own)]
         return sum(self._is_able(entry, now_ms) for entry in before)
 
@@ -88,30 +89,31 @@
         """Returns the relays of the other data centres."""
         own = self.members.own.data_centre
         relays = self._relays(now_ms)
-        return [entry for place, entry in relays.items() if place != own]
+        return [entry for centre, entry in relays.items() if centre != own]
 
     def _relays(self, now_ms: int) -> dict[str, MemberEntry]:
         relays = {}
-        for place, entries in self._ordered().items():
+        for centre, entries in self._ranked_by_centre().items():
             for entry in entries:
                 if self._is_able(entry, now_ms):
-                    relays[place] = entry
+                    relays[centre] = entry
                     break
         return relays
 
     def _is_able(self, entry: MemberEntry, now_ms: int) -> bool:
-        # A node that cannot read goes on trying unless another one can.
+        # A node never skips itself. A node whose reads fail continues to try
+        # unless another node can read.
         if entry is self.members.own:
             return True
         return self.unable.get(entry.peer_address, 0) <= now_ms
 
-    def _ordered(self) -> dict[str, list[MemberEntry]]:
+    def _ranked_by_centre(self) -> dict[str, list[MemberEntry]]:
         if self.revision != self.members.revision:
             self.revision = self.members.revision
-            self.ranked = self._order()
+            self.ranked = self._sort_members()
         return self.ranked
 
-    def _order(self) -> dict[str, list[MemberEntry]]:
+    def _sort_members(self) -> dict[str, list[MemberEntry]]:
         suspect = MemberState.SUSPECT.value
         own = self.members.own
         ranked = {own.data_centre: [own]}
@@ -123,13 +125,14 @@
         return ranked
 
 
-def _reads(relay: MemberEntry, relays: dict[str, MemberEntry]) -> bool:
+def _is_reader(relay: MemberEntry, relays: dict[str, MemberEntry]) -> bool:
     before = sum(_rank(entry) < _rank(relay) for entry in relays.values())
     return before < READER_COUNT
 
 
 def _rank(entry: MemberEntry) -> tuple[int, int]:
-    # Fast lines first: a reader fetches whole documents.
+    # Nodes on fast network links come first, because readers fetch whole
+    # documents.
     return -entry.line_mbps, _hash(entry.node)
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_min_serving_version.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_min_serving_version.py
@@ -1,4 +1,4 @@
-"""When a starting node may serve callers."""
+"""Conditions under which a starting node may serve callers."""
 
 import pytest
 
@@ -8,24 +8,24 @@
 
 
 def test_a_restarted_node_waits_for_the_version_it_had() -> None:
-    """A node keeps nothing when it restarts, and the log may be down.
+    """A node loses its state in a restart while the log does not respond.
 
-    If it served with the first configuration that some slow peer gave it, its
-    callers would be routed by an older version than before the restart.
+    If the node served with the first configuration of an outdated peer, callers
+    would be routed by an older version than before the restart.
     """
-    floor = MinServingVersion(SETTLE_MS)
-    floor.on_peer_version(7, True, 0)
-    floor.on_peer_version(9, False, 10)
-    assert not floor.update(7, SETTLE_MS)
-    assert floor.update(9, SETTLE_MS)
+    min_version = MinServingVersion(SETTLE_MS)
+    min_version.on_peer_version(7, True, 0)
+    min_version.on_peer_version(9, False, 10)
+    assert not min_version.update(7, SETTLE_MS)
+    assert min_version.update(9, SETTLE_MS)
 
 
-def test_readiness_stays() -> None:
-    floor = MinServingVersion(SETTLE_MS)
-    floor.on_log_read(3, 3)
-    assert floor.update(3, 0)
-    floor.on_peer_version(50, True, 1)
-    assert floor.update(3, 1)
+def test_readiness_is_never_reset() -> None:
+    min_version = MinServingVersion(SETTLE_MS)
+    min_version.on_log_read(3, 3)
+    assert min_version.update(3, 0)
+    min_version.on_peer_version(50, True, 1)
+    assert min_version.update(3, 1)
 
 
 @pytest.mark.parametrize(
@@ -36,10 +36,12 @@
         pytest.param(9, 9, True, id="at-the-end"),
     ],
 )
-def test_log(version: int, end: int, expected: bool) -> None:
-    floor = MinServingVersion(SETTLE_MS)
-    floor.on_log_read(version, end)
-    assert floor.update(version, 0) is expected
+def test_readiness_after_a_log_read(
+    version: int, end: int, expected: bool
+) -> None:
+    min_version = MinServingVersion(SETTLE_MS)
+    min_version.on_log_read(version, end)
+    assert min_version.update(version, 0) is expected
 
 
 @pytest.mark.parametrize(
@@ -50,7 +52,9 @@
         pytest.param(True, SETTLE_MS, True, id="settled"),
     ],
 )
-def test_peers(peer_ready: bool, now_ms: int, expected: bool) -> None:
-    floor = MinServingVersion(SETTLE_MS)
-    floor.on_peer_version(3, peer_ready, 0)
-    assert floor.update(3, now_ms) is expected
+def test_readiness_from_peer_versions(
+    peer_ready: bool, now_ms: int, expected: bool
+) -> None:
+    min_version = MinServingVersion(SETTLE_MS)
+    min_version.on_peer_version(3, peer_ready, 0)
+    assert min_version.update(3, now_ms) is expected
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_reading_order.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_reading_order.py
@@ -1,4 +1,4 @@
-"""Who reads the source of configurations for the others."""
+"""Election of the nodes that read the configuration source."""
 
 from collections import Counter
 
@@ -54,15 +54,18 @@
 def test_reads_grow_neither_with_nodes_nor_with_data_centres(
     data_centres: int, nodes: int
 ) -> None:
-    """Guards against a source that each data centre or node asks."""
+    """Reads by every node or data centre would overload the source."""
     found = roles(orders(fleet(data_centres, nodes)))
     readers = min(READER_COUNT, data_centres)
     assert found[ReadingRole.READER] == readers
     assert found[ReadingRole.RELAY] == data_centres - readers
 
 
-def test_a_reader_that_cannot_read_is_relieved_within_its_data_centre() -> None:
-    """Guards against a mesh whose readers have all been turned away."""
+def test_a_reader_that_cannot_read_is_replaced() -> None:
+    """The source refuses the reads of all readers.
+
+    Without replacement readers, no node would get a new configuration.
+    """
     found = orders(fleet(6, 4))
     refused = [
         address
@@ -77,20 +80,26 @@
     assert roles(others)[ReadingRole.READER] == READER_COUNT
 
 
-def test_a_suspect_neither_reads_nor_informs() -> None:
-    """Guards against neighbours that wait for a dead relay."""
+def test_a_suspect_member_is_no_reader() -> None:
+    """The first member of a data centre is suspected of having failed.
+
+    If its role stayed, its neighbours would wait for a dead relay.
+    """
     entries = fleet(1, 2)
     found = orders(entries)
     first, second = sorted(
         found.values(), key=lambda order: order.neighbours_ahead(NOW_MS)
     )
-    doubted = attrs.evolve(first.members.own, state="suspect")
-    second.members.merge([doubted])
+    suspect = attrs.evolve(first.members.own, state="suspect")
+    second.members.merge([suspect])
     assert second.role(NOW_MS) is ReadingRole.READER
 
 
-def test_fast_lines_read_first() -> None:
-    """Guards against whole documents that a slow line carries for all."""
+def test_nodes_on_fast_links_read_first() -> None:
+    """A node on a slow network link fetches whole documents for all nodes.
+
+    Every node would get each new configuration late.
+    """
     entries = fleet(1, 9)
     entries[4] = attrs.evolve(entries[4], line_mbps=50)
     found = orders(entries)
