--- a/packages/pomelobank-node/src/pomelobank_node/_admission_queue.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_admission_queue.py
@@ -1,4 +1,4 @@
-"""Lets requests wait for the slot that admission gives them."""
+"""Queues requests until admission grants each of them a slot."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 
 
 def admission_policy(settings: RequestSettings) -> AdmissionPolicy:
-    """Returns the policy that the settings name."""
+    """Returns the admission policy that the settings select."""
     percent = {
         TrafficClass.INTERACTIVE: settings.interactive_percent,
         TrafficClass.INTERNAL: settings.internal_percent,
@@ -52,7 +52,7 @@
 def new_admission(
     settings: RequestSettings,
 ) -> Admission | DeadlineAdmission:
-    """Returns the admission of a target that is not known yet."""
+    """Returns the admission of a target that has not announced itself yet."""
     if settings.admission == _BY_DEADLINE:
         return DeadlineAdmission(SlotLimit(settings.slots))
     return Admission(
@@ -65,14 +65,14 @@
 
 @attrs.define(eq=False)
 class AdmissionQueue:
-    """Carries out what admission decides.
+    """Applies the decisions of admission to requests that wait for a slot.
 
     Attributes:
-        admission: Decides.
-        clock: Tells the time.
-        waiting: Requests that wait, each with what wakes it.
-        wait_count: Requests that had to wait, for the metrics.
-        total_wait_ms: Time that they waited, in all.
+        admission: Decides which request runs, waits or is rejected.
+        clock: Source of the current time.
+        waiting: Queued requests, each with the future that ends its wait.
+        wait_count: Number of requests that had to wait, for the metrics.
+        total_wait_ms: Sum of the waits of all requests.
         idle: Set while no request waits or runs.
     """
 
@@ -90,100 +90,102 @@
 
     @property
     def outstanding(self) -> int:
-        """Requests that wait or run."""
+        """Number of requests that wait or run."""
         return self.admission.in_flight + self.admission.waiting
 
     def expected_service_ms(self, route: str) -> float:
-        """Returns the time that a route's requests usually take there."""
+        """Returns the expected service time of a route at the target."""
         return self.admission.expected_service_ms(route, self.clock.now_ms())
 
     def max_expected_service_ms(self) -> float:
-        """Returns the slowest route's usual time at the target in ms."""
+        """Returns the slowest route's expected service time at the target."""
         return self.admission.max_expected_service_ms(self.clock.now_ms())
 
-    async def acquire(self, ticket: AdmissionRequest) -> None:
-        """Returns once the request may go to the target.
+    async def acquire(self, request: AdmissionRequest) -> None:
+        """Waits until the request holds a slot.
 
         Args:
-            ticket: The request; `release` must follow.
+            request: The request; the caller must `release` its slot later.
 
         Raises:
-            RequestError: OVERLOADED or DEADLINE_NOT_RUN; it has not run.
+            RequestError: OVERLOADED or DEADLINE_NOT_RUN; the request has not
+                run.
         """
-        verdict = self.admission.offer(ticket, self.clock.now_ms())
-        if isinstance(verdict, Rejected):
-            raise RequestError(verdict.kind, verdict.retry_after_ms)
+        decision = self.admission.offer(request, self.clock.now_ms())
+        if isinstance(decision, Rejected):
+            raise RequestError(decision.kind, decision.retry_after_ms)
         self.idle.clear()
-        if isinstance(verdict, Started):
+        if isinstance(decision, Started):
             return
-        await self._wait(ticket)
+        await self._wait(request)
 
-    def release(self, ticket: AdmissionRequest, result: WorkResult) -> None:
-        """Takes the end of a request that had entered."""
+    def release(self, request: AdmissionRequest, result: WorkResult) -> None:
+        """Releases the slot of a request that has ended."""
         now_ms = self.clock.now_ms()
-        self._carry_out(self.admission.finish(ticket, result, now_ms))
+        self._apply(self.admission.finish(request, result, now_ms))
 
     def reject_waiting(self) -> None:
-        """Sends away what waits, because the target takes nothing more."""
-        for ticket in list(self.waiting):
-            if ticket.started_ms is None:
-                self._wake(ticket, RequestError(ErrorKind.DRAINING))
+        """Rejects the queued requests because the target is draining."""
+        for request in list(self.waiting):
+            if request.started_ms is None:
+                self._resolve(request, RequestError(ErrorKind.DRAINING))
 
     def set_slots(self, slots: int) -> None:
-        """Takes a new number of slots."""
+        """Sets the number of slots."""
         now_ms = self.clock.now_ms()
-        self._carry_out(self.admission.set_slots(slots, now_ms))
+        self._apply(self.admission.set_slots(slots, now_ms))
 
-    async def _wait(self, ticket: AdmissionRequest) -> None:
-        woken = asyncio.get_running_loop().create_future()
-        self.waiting[ticket] = woken
-        until_ms = self.admission.wait_deadline_ms(ticket)
-        room_ms = until_ms - self.clock.now_ms()
+    async def _wait(self, request: AdmissionRequest) -> None:
+        slot_granted = asyncio.get_running_loop().create_future()
+        self.waiting[request] = slot_granted
+        wait_deadline_ms = self.admission.wait_deadline_ms(request)
+        max_wait_ms = wait_deadline_ms - self.clock.now_ms()
         self.wait_count += 1
-        begun_ms = self.clock.now_ms()
+        started_ms = self.clock.now_ms()
         try:
-            async with asyncio.timeout(room_ms / _MS_PER_S):
-                await woken
+            async with asyncio.timeout(max_wait_ms / _MS_PER_S):
+                await slot_granted
         except TimeoutError:
-            self._give_up(ticket)
-            raise RequestError(self._too_late(ticket)) from None
+            self._withdraw(request)
+            raise RequestError(self._expiry_error(request)) from None
         except (asyncio.CancelledError, RequestError):
-            self._give_up(ticket)
+            self._withdraw(request)
             raise
         finally:
-            self.waiting.pop(ticket, None)
-            self.total_wait_ms += self.clock.now_ms() - begun_ms
+            self.waiting.pop(request, None)
+            self.total_wait_ms += self.clock.now_ms() - started_ms
 
-    def _too_late(self, ticket: AdmissionRequest) -> ErrorKind:
-        # With time left, another target may still run it.
-        if self.clock.now_ms() < ticket.deadline_ms:
+    def _expiry_error(self, request: AdmissionRequest) -> ErrorKind:
+        # With time left before the deadline, another target may still run the
+        # request; OVERLOADED lets the sender retry there.
+        if self.clock.now_ms() < request.deadline_ms:
             return ErrorKind.OVERLOADED
         return ErrorKind.DEADLINE_NOT_RUN
 
-    def _give_up(self, ticket: AdmissionRequest) -> None:
-        # The slot may have been given in the same moment; it would stay taken
-        # for good if the request went away without giving it back.
-        if ticket.started_ms is not None:
-            self.release(ticket, WorkResult.ABANDONED)
+    def _withdraw(self, request: AdmissionRequest) -> None:
+        # Admission may have granted the slot just before the request gave up.
+        # A slot that is not released then would stay occupied forever.
+        if request.started_ms is not None:
+            self.release(request, WorkResult.ABANDONED)
             return
         now_ms = self.clock.now_ms()
-        self._carry_out(self.admission.cancel(ticket, now_ms))
+        self._apply(self.admission.cancel(request, now_ms))
 
-    def _carry_out(self, change: QueueChange) -> None:
-        for ticket in change.started:
-            self._wake(ticket, None)
-        for ticket in change.expired:
-            self._wake(ticket, RequestError(self._too_late(ticket)))
+    def _apply(self, change: QueueChange) -> None:
+        for request in change.started:
+            self._resolve(request, None)
+        for request in change.expired:
+            self._resolve(request, RequestError(self._expiry_error(request)))
         if not self.outstanding:
             self.idle.set()
 
-    def _wake(
-        self, ticket: AdmissionRequest, error: RequestError | None
+    def _resolve(
+        self, request: AdmissionRequest, error: RequestError | None
     ) -> None:
-        woken = self.waiting.get(ticket)
-        if woken is None or woken.done():
+        slot_granted = self.waiting.get(request)
+        if slot_granted is None or slot_granted.done():
             return
         if error is None:
-            woken.set_result(None)
+            slot_granted.set_result(None)
         else:
-            woken.set_exception(error)
+            slot_granted.set_exception(error)
--- a/packages/pomelobank-node/src/pomelobank_node/_dispatcher.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Takes a caller's request to the target that answers it."""
+"""Routes callers' requests to upstreams and forwards them."""
 
 from typing import TYPE_CHECKING, Protocol
 from urllib.parse import unquote_to_bytes
@@ -39,19 +39,19 @@
 
 @attrs.frozen
 class CallerRequest:
-    """A request as it came in.
+    """A request as the node received it from a caller.
 
     Attributes:
         service: Service that the caller addressed.
         method: HTTP method.
         path: Path without query.
         target: Raw path with query.
-        headers: Headers to pass on.
-        body: Whole body.
-        trace_id: Id that follows the request through every log.
-        timeout_ms: Caller's own limit; 0 where it gave none.
-        idempotency_key: Caller's key; empty where it gave none.
-        rest: The rest of the body, None where `body` is the whole.
+        headers: Headers to forward.
+        body: The whole body, or its first part if there is a `rest`.
+        trace_id: Id of the request in the logs of every node.
+        timeout_ms: The caller's own time-out; 0 if the caller set none.
+        idempotency_key: The caller's key; empty if the caller sent none.
+        rest: The rest of the body, None if `body` is the whole body.
     """
 
     service: str
@@ -67,35 +67,38 @@
 
 
 class RoutesInForce(Protocol):
-    """The routes by which a node sends requests on."""
+    """The routes that a node forwards requests by."""
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be served."""
+        """Whether the node may serve callers."""
 
     @property
     def routes(self) -> RouteTable:
-        """The routes."""
+        """The route table."""
 
     @property
     def version(self) -> int:
-        """Version of the routes."""
+        """Configuration version of the route table."""
 
 
 @attrs.define(eq=False)
 class Dispatcher:
-    """Finds the route and the upstream of requests.
+    """Selects the route and the upstream of each request.
 
     Attributes:
         store: The configuration in force.
-        forwarder: Takes requests to the upstream's targets.
-        clock: Tells the time.
-        exact_weights: Whether an upstream keeps its part of the requests also
-            while none of its targets can serve; the others get it where not.
-        shutdown_admission: Tells which requests a stopping node still takes.
-        claims: Runs requests with an idempotency key, None where keys are left
-            to the targets.
-        caller_timeouts: Tells what callers have used on earlier attempts.
+        forwarder: Forwards requests to the targets of an upstream.
+        clock: Source of the current time.
+        exact_weights: Whether an upstream keeps its share of the requests while
+            none of its targets is available. If False, the other upstreams of
+            the route receive that share.
+        shutdown_admission: Decides which requests a stopping node still
+            accepts.
+        claims: Runs requests with an idempotency key once; None if the targets
+            handle the keys themselves.
+        caller_timeouts: Estimates the time that callers spent on earlier
+            attempts of the same request.
     """
 
     store: RoutesInForce
@@ -108,24 +111,24 @@
     claims: "ClaimService | None" = None
     caller_timeouts: CallerTimeouts = attrs.field(factory=CallerTimeouts)
 
-    async def dispatch(self, caller: CallerRequest) -> ForwardReply:
-        """Answers one request.
+    async def dispatch(self, call: CallerRequest) -> ForwardReply:
+        """Routes and forwards one request.
 
         Args:
-            caller: The request.
+            call: The caller's request.
 
         Returns:
-            The target's answer or an error report.
+            The target's response or an error report.
 
         Raises:
-            RequestError: If the request cannot be placed.
+            RequestError: If no route or no target can serve the request.
         """
         if not self.store.ready:
             raise RequestError(ErrorKind.NOT_READY)
-        route = self.store.routes.match(caller.service, caller.path)
+        route = self.store.routes.match(call.service, call.path)
         if route is None:
             raise RequestError(ErrorKind.NO_ROUTE)
-        request = with_rest(self._request(route, caller), caller.rest)
+        request = with_rest(self._forward_request(route, call), call.rest)
         if not self.shutdown_admission.accepts(
             request.remaining_ms, request.sent_ms
         ):
@@ -137,20 +140,21 @@
         trace.route = route.name
         trace.version = request.version
         trace.deadline_ms = request.remaining_ms
-        # A key is looked up before a target: its request may have run, and
-        # its resend must not be told that there is none.
-        has_key = bool(caller.idempotency_key)
+        # The node looks up the key before it selects a target. The request may
+        # have run earlier, and a resend must then get the stored response even
+        # if no target is available now.
+        has_key = bool(call.idempotency_key)
         if has_key and self.claims is not None and not request.idempotent:
-            key = scoped_key(caller.service, caller.idempotency_key)
+            key = scoped_key(call.service, call.idempotency_key)
             keyed = attrs.evolve(request, idempotency_key=key)
             return await self.claims.run_once(keyed)
-        return await self._route_on(route, request)
+        return await self._forward(route, request)
 
     async def dispatch_claimed(self, request: ForwardRequest) -> ForwardReply:
-        """Places a request whose key this node has claimed.
+        """Routes and forwards a request whose key this node has claimed.
 
         Raises:
-            RequestError: If the request cannot be placed.
+            RequestError: If no route or no target can serve the request.
         """
         if not self.store.ready:
             raise RequestError(ErrorKind.NOT_READY)
@@ -158,17 +162,18 @@
         path = unquote_to_bytes(request.target.partition(b"?")[0])
         route = self.store.routes.match(service, path.decode(errors="replace"))
         if route is None:
-            # The entry knew a route when it sent the request here. A claiming
-            # node that is behind would else tell the caller that the route
-            # does not exist, as if an operator had deleted it.
-            behind = self.store.version < request.version
+            # The entry node had a route when it sent the request here. A
+            # claiming node with an older configuration must not report
+            # NO_ROUTE, because the caller would conclude that an operator has
+            # deleted the route.
+            is_outdated = self.store.version < request.version
             raise RequestError(
-                ErrorKind.NOT_READY if behind else ErrorKind.NO_ROUTE
+                ErrorKind.NOT_READY if is_outdated else ErrorKind.NO_ROUTE
             )
-        reply = await self._route_on(route, request)
+        reply = await self._forward(route, request)
         return await read_full_reply(reply, MAX_KEYED_BODY_BYTES)
 
-    async def _route_on(
+    async def _forward(
         self, route: RouteObject, request: ForwardRequest
     ) -> ForwardReply:
         available = None
@@ -183,31 +188,31 @@
             attrs.evolve(request, upstream=upstream)
         )
 
-    def _request(
-        self, route: RouteObject, caller: CallerRequest
+    def _forward_request(
+        self, route: RouteObject, call: CallerRequest
     ) -> ForwardRequest:
         remaining_ms = route.timeout_ms
         spent_ms = 0
-        if caller.timeout_ms:
-            remaining_ms = min(remaining_ms, caller.timeout_ms)
+        if call.timeout_ms:
+            remaining_ms = min(remaining_ms, call.timeout_ms)
             spent_ms = self.caller_timeouts.elapsed_ms(
-                route.name, caller.timeout_ms
+                route.name, call.timeout_ms
             )
         return ForwardRequest(
-            trace_id=caller.trace_id,
+            trace_id=call.trace_id,
             sent_ms=self.clock.now_ms(),
             remaining_ms=remaining_ms,
             route=route.name,
             traffic_class=route.traffic_class,
-            method=caller.method,
-            target=caller.target,
+            method=call.method,
+            target=call.target,
             headers=tuple(
-                Header(name=name, value=value) for name, value in caller.headers
+                Header(name=name, value=value) for name, value in call.headers
             ),
-            body=caller.body,
-            idempotent=is_idempotent(route, caller.method),
+            body=call.body,
+            idempotent=is_idempotent(route, call.method),
             version=self.store.version,
-            idempotency_key=caller.idempotency_key,
+            idempotency_key=call.idempotency_key,
             max_attempts=route.max_attempts,
             aim_ms=route.aim_ms,
             priority=route.priority,
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -1,4 +1,4 @@
-"""Sends a request to targets of its upstream until one of them has it."""
+"""Forwards a request to targets of its upstream, with retries and hedging."""
 
 import asyncio
 import math
@@ -63,22 +63,25 @@
 from pomelobank_schema.generated.peer import Header, MemberEntry
 from pomelobank_schema.generated.settings import RequestSettings
 
-# Marks a request that is part of a retry. A target that passes it on with the
-# calls it makes keeps the nodes behind it from retrying those as well.
+# Marks a retried request. A target that copies this header to its own calls
+# keeps the nodes behind it from retrying them, so retries do not multiply along
+# a chain of calls.
 RETRY_HEADER = HttpConventions().retry
 _MS_PER_S = 1000
-# Bodies from this size on are sent to another data centre only once the target
-# has a slot. Smaller ones are no longer than the frames that ask for them.
+# Smallest body that the node defers: a body for a remote data centre is sent
+# only once its target has a slot. A smaller body takes no more bytes than the
+# frames that ask for it.
 HOLD_BACK_BYTES = 1024
-# The same within a data centre for bodies that fill the node's line for longer
-# than the round trip that asking for them takes.
+# Time on the node's uplink from which a body for the local data centre is
+# deferred too. A body that occupies the uplink for less time costs less than
+# the extra round trip that asking for the body takes.
 HOLD_BACK_MS = 1.0
 _PERCENT = 100
 _TWICE = 2
 
 
 def new_load_balancer(settings: RequestSettings) -> LoadBalancer:
-    """Returns the placing that the settings name."""
+    """Returns the load balancer that the settings select."""
     if settings.placing == "round_robin":
         return RoundRobin()
     ramp = Ramp(settings.ramp_start_percent / _PERCENT, settings.ramp_ms)
@@ -87,24 +90,29 @@
 
 @attrs.define(eq=False)
 class Forwarder:
-    """Places requests and retries them.
+    """Selects targets for requests, retries failures and hedges slow requests.
 
     Attributes:
-        members: Who can serve.
-        owner: The node's own target.
+        members: Known members and their targets.
+        owner: Runs requests on the node's own target.
         links: Streams to peers.
-        clock: Tells the time.
-        load_balancer: Chooses the target.
-        retry_header: Marks a request that is part of a retry; empty for none.
+        clock: Source of the current time.
+        load_balancer: Selects the target of each attempt.
+        retry_header: Header that marks a retried request; empty if the
+            requests are not marked.
         index: The targets of each upstream.
-        retries: Decides about further tries.
-        deferred_body_min_bytes: Size from which bodies to another data centre
-            wait for a slot.
-        uplink_bytes_per_ms: Speed of the node's line; infinite where unknown.
-        hedging: Decides when an overdue request is sent twice; None for never.
-        hedged: Requests that were sent twice, for the metrics.
-        hedges_won: Those of them that the second target answered first.
-        rejected: Requests refused here because all targets just refused.
+        retries: Decides whether a failed attempt is retried.
+        deferred_body_min_bytes: Size from which a body for a remote data
+            centre is sent only once its target has a slot.
+        uplink_bytes_per_ms: Bandwidth of the node's uplink; infinite if
+            unknown.
+        hedging: Decides when a slow request is sent to a second target; None
+            if requests are never hedged.
+        hedged: Number of hedged requests, for the metrics.
+        hedges_won: Number of hedged requests that the second target answered
+            first.
+        rejected: Number of requests that this node rejected because every
+            target had just rejected requests of the same class.
     """
 
     members: MemberTable
@@ -127,86 +135,89 @@
         return CandidateIndex(self.members)
 
     async def forward(self, request: ForwardRequest) -> ForwardReply:
-        """Answers one request.
+        """Forwards one request until a target answers or no retry is left.
 
         Args:
-            request: The request, its time left counted from now.
+            request: The request; its remaining time counts from now.
 
         Returns:
-            The target's answer or an error report.
+            The target's response or an error report.
 
         Raises:
-            RequestError: NO_TARGET, OVERLOADED or QUARANTINED; it has not run.
+            RequestError: NO_TARGET, OVERLOADED or QUARANTINED; the request has
+                not run.
         """
         now_ms = self.clock.now_ms()
         names = {header.name for header in request.headers}
-        journey = ForwardingState(
+        state = ForwardingState(
             request,
             now_ms + request.remaining_ms,
             bool(self.retry_header) and self.retry_header in names,
         )
         self.retries.on_first_attempt(request.upstream, now_ms)
-        target = self._place(journey)
+        target = self._choose_target(state)
         if target is None:
             raise RequestError(ErrorKind.NO_TARGET)
-        self._turn_away(request, now_ms)
-        journey.offers_left = self._offers(journey)
+        self._reject_if_all_full(request, now_ms)
+        state.offers_left = self._max_offers(state)
         while True:
-            offers = journey.offers_left
-            reply = await self._hedged(journey, self._try(journey, target))
-            declined = journey.offers_left < offers
-            # Where it was sent twice meanwhile, the other reply counts.
+            offers = state.offers_left
+            reply = await self._with_hedge(state, self._attempt(state, target))
+            declined = state.offers_left < offers
+            # If the offer was declined after the request was hedged, the reply
+            # of the hedge counts.
             if declined and reply.error == ErrorKind.OVERLOADED.value:
-                if not self._may_bind_late(journey):
-                    target = self._after_decline(journey)
+                if not self._may_bind_late(state):
+                    target = self._target_after_decline(state)
                     continue
-                reply = await self._hedged(
-                    journey, self._queue_at_several(journey)
-                )
+                reply = await self._with_hedge(state, self._bind_late(state))
                 if reply.error == ErrorKind.OVERLOADED.value:
-                    return journey.final_reply(reply)
-            retry = self._decide(journey, reply)
+                    return state.final_reply(reply)
+            retry = self._decide_retry(state, reply)
             if retry is None:
-                return journey.final_reply(reply)
-            journey.record_reply(reply)
+                return state.final_reply(reply)
+            state.record_reply(reply)
             await asyncio.sleep(retry.delay_ms / _MS_PER_S)
             try:
-                following = self._place(journey)
+                next_target = self._choose_target(state)
             except RequestError as error:
-                # By now the request is known to crash targets.
-                refusal = error_reply(request.request_id, error)
-                return journey.final_reply(refusal)
-            if following is None:
-                return journey.final_reply(reply)
-            target = following
-
-    def _offers(self, journey: ForwardingState) -> int:
-        targets = self.index.of(journey.request.upstream).targets
-        if not self.retries.free_rejections or journey.runs_isolated:
+                # Since the first attempt, the request was quarantined because
+                # it crashes targets.
+                rejection = error_reply(request.request_id, error)
+                return state.final_reply(rejection)
+            if next_target is None:
+                return state.final_reply(reply)
+            target = next_target
+
+    def _max_offers(self, state: ForwardingState) -> int:
+        targets = self.index.of(state.request.upstream).targets
+        if not self.retries.free_rejections or state.runs_isolated:
             return 0
         if len(targets) < MAX_OFFERS:
             return 0
-        if self._may_bind_late(journey):
+        if self._may_bind_late(state):
             return MAX_OFFERS_BEFORE_LATE_BINDING
         return MAX_OFFERS
 
-    def _may_bind_late(self, journey: ForwardingState) -> bool:
-        candidates = self.index.of(journey.request.upstream)
-        return may_bind_late(journey, candidates)
+    def _may_bind_late(self, state: ForwardingState) -> bool:
+        candidates = self.index.of(state.request.upstream)
+        return may_bind_late(state, candidates)
 
-    def _after_decline(self, journey: ForwardingState) -> MemberEntry:
+    def _target_after_decline(self, state: ForwardingState) -> MemberEntry:
         now_ms = self.clock.now_ms()
-        kind = load_class(journey.request)
-        if journey.offers_left:
-            other = self._place(journey)
-            if other and self.load_balancer.may_accept(other, kind, now_ms):
+        traffic_class = load_class(state.request)
+        if state.offers_left:
+            other = self._choose_target(state)
+            if other and self.load_balancer.may_accept(
+                other, traffic_class, now_ms
+            ):
                 return other
-        # No idle target was found; the one with the shortest queue has to
-        # take it.
-        journey.offers_left = 0
-        return journey.least_busy()
+        # No other target would accept an offer, so the target that declined
+        # with the shortest expected wait queues the request.
+        state.offers_left = 0
+        return state.least_busy()
 
-    def _turn_away(self, request: ForwardRequest, now_ms: int) -> None:
+    def _reject_if_all_full(self, request: ForwardRequest, now_ms: int) -> None:
         candidates = self.index.of(request.upstream)
         retry_after_ms = self.load_balancer.all_full_retry_after_ms(
             candidates, load_class(request), now_ms
@@ -215,64 +226,67 @@
             self.rejected += 1
             raise RequestError(ErrorKind.OVERLOADED, retry_after_ms)
 
-    def _place(self, journey: ForwardingState) -> MemberEntry | None:
-        request = journey.request
+    def _choose_target(self, state: ForwardingState) -> MemberEntry | None:
+        request = state.request
         candidates = self.index.of(request.upstream)
         now_ms = self.clock.now_ms()
-        standing = self.owner.crash_reports.check(request)
-        journey.runs_isolated = standing is QuarantineState.SUSPECT
-        if journey.runs_isolated:
-            # Every node sends it to the same target, so that it runs once at
-            # a time and a crash takes that one target only.
-            print_ = request_fingerprint(request)
-            return isolation_target(candidates, print_, journey.attempted_nodes)
+        quarantine_state = self.owner.crash_reports.check(request)
+        state.runs_isolated = quarantine_state is QuarantineState.SUSPECT
+        if state.runs_isolated:
+            # Every node sends a suspect request to the same target, so that
+            # its copies run one at a time and a crash stops one target only.
+            fingerprint = request_fingerprint(request)
+            return isolation_target(
+                candidates, fingerprint, state.attempted_nodes
+            )
         return self.load_balancer.pick(
-            candidates, journey.attempted_nodes, load_class(request), now_ms
+            candidates, state.attempted_nodes, load_class(request), now_ms
         )
 
-    async def _queue_at_several(self, journey: ForwardingState) -> ForwardReply:
-        candidates = self.index.of(journey.request.upstream)
+    async def _bind_late(self, state: ForwardingState) -> ForwardReply:
+        candidates = self.index.of(state.request.upstream)
         targets = self.load_balancer.pick_several(
             candidates,
             late_binding_target_count(candidates),
             self.clock.now_ms(),
         )
         if not targets:
-            journey.offers_left = 0
-            return await self._try(journey, journey.least_busy())
+            state.offers_left = 0
+            return await self._attempt(state, state.least_busy())
         binding = LateBinding()
         for target in targets:
             binding.attempts[target.node] = asyncio.create_task(
-                self._try(journey, target, binding=binding)
+                self._attempt(state, target, binding=binding)
             )
         try:
             return await binding.reply()
         finally:
             binding.cancel()
 
-    async def _hedged(
+    async def _with_hedge(
         self,
-        journey: ForwardingState,
-        first: Coroutine[None, None, ForwardReply],
+        state: ForwardingState,
+        first_attempt: Coroutine[None, None, ForwardReply],
     ) -> ForwardReply:
-        after_ms = self._hedge_after_ms(journey)
-        if after_ms is None:
-            return await first
-        tries = [asyncio.create_task(first)]
+        delay_ms = self._hedge_delay_ms(state)
+        if delay_ms is None:
+            return await first_attempt
+        attempts = [asyncio.create_task(first_attempt)]
         try:
-            await asyncio.wait(tries, timeout=after_ms / _MS_PER_S)
-            other = None if tries[0].done() else self._second_target(journey)
+            await asyncio.wait(attempts, timeout=delay_ms / _MS_PER_S)
+            other = None if attempts[0].done() else self._second_target(state)
             if other is not None:
                 self.hedged += 1
-                hedge = self._try(journey, other, is_hedge=True)
-                tries.append(asyncio.create_task(hedge))
-            return await self._first_good(journey, tries)
+                hedge = self._attempt(state, other, is_hedge=True)
+                attempts.append(asyncio.create_task(hedge))
+            return await self._first_served(state, attempts)
         finally:
-            for item in tries:
+            for item in attempts:
                 item.cancel()
 
     def _is_suspect(self, request: ForwardRequest) -> bool:
-        # A request that may crash targets runs on one at a time.
+        # A request that may crash targets must not be hedged, because its
+        # copies may run on one target at a time only.
         try:
             return (
                 self.owner.crash_reports.check(request)
@@ -281,89 +295,91 @@
         except RequestError:
             return True
 
-    def _hedge_after_ms(self, journey: ForwardingState) -> float | None:
-        request = journey.request
-        once = (request.max_attempts or MAX_ATTEMPTS) < _TWICE
-        if self.hedging is None or once or not request.idempotent:
+    def _hedge_delay_ms(self, state: ForwardingState) -> float | None:
+        request = state.request
+        single_attempt = (request.max_attempts or MAX_ATTEMPTS) < _TWICE
+        if self.hedging is None or single_attempt or not request.idempotent:
             return None
-        if journey.attempts or rest_of(request) is not None:
+        if state.attempts or rest_of(request) is not None:
             return None
         now_ms = self.clock.now_ms()
-        left_ms = journey.deadline_ms - now_ms
-        return self.hedging.delay_ms(request.route, left_ms, now_ms)
+        remaining_ms = state.deadline_ms - now_ms
+        return self.hedging.delay_ms(request.route, remaining_ms, now_ms)
 
-    def _second_target(self, journey: ForwardingState) -> MemberEntry | None:
-        request = journey.request
+    def _second_target(self, state: ForwardingState) -> MemberEntry | None:
+        request = state.request
         if self._is_suspect(request):
             return None
         now_ms = self.clock.now_ms()
         candidates = self.index.of(request.upstream)
-        kind = load_class(request)
+        traffic_class = load_class(request)
         other = self.load_balancer.pick(
-            candidates, journey.attempted_nodes, kind, now_ms
+            candidates, state.attempted_nodes, traffic_class, now_ms
         )
         if other is None or not self.load_balancer.has_capacity(
-            other, kind, now_ms
+            other, traffic_class, now_ms
         ):
             return None
         if not self.retries.allow_hedge(request.upstream, now_ms):
             return None
         return other
 
-    async def _first_good(
-        self, journey: ForwardingState, tries: list[asyncio.Task[ForwardReply]]
+    async def _first_served(
+        self, state: ForwardingState, attempts: list[asyncio.Task[ForwardReply]]
     ) -> ForwardReply:
-        first, pending = tries[0], set(tries)
+        first_attempt, pending = attempts[0], set(attempts)
         while True:
             done, pending = await asyncio.wait(
                 pending, return_when=asyncio.FIRST_COMPLETED
             )
             replies = [(item, item.result()) for item in done]
-            good = [pair for pair in replies if was_served(pair[1])]
-            if good or not pending:
-                chosen, reply = good[0] if good else replies[-1]
-                self.hedges_won += chosen is not first
+            served = [pair for pair in replies if was_served(pair[1])]
+            if served or not pending:
+                chosen, reply = served[0] if served else replies[-1]
+                self.hedges_won += chosen is not first_attempt
                 for item, other in replies:
                     if item is not chosen:
-                        _put_away(journey, other)
+                        _discard_reply(state, other)
                 return reply
             for _, reply in replies:
-                journey.record_reply(reply)
+                state.record_reply(reply)
 
-    async def _try(
+    async def _attempt(
         self,
-        journey: ForwardingState,
+        state: ForwardingState,
         target: MemberEntry,
         is_hedge: bool = False,
         binding: LateBinding | None = None,
     ) -> ForwardReply:
-        begun_ms = self.clock.now_ms()
-        left_ms = journey.deadline_ms - begun_ms
-        first = journey.request
-        spent_ms = first.spent_ms + first.remaining_ms - left_ms
+        started_ms = self.clock.now_ms()
+        remaining_ms = state.deadline_ms - started_ms
+        original = state.request
+        spent_ms = original.spent_ms + original.remaining_ms - remaining_ms
         request = attrs.evolve(
-            first,
-            sent_ms=begun_ms,
-            remaining_ms=left_ms,
-            # What is late already keeps the shortest aim that can be told.
-            aim_ms=max(1, first.aim_ms - spent_ms) if first.aim_ms else 0,
-            max_wait_ms=HEDGE_MAX_WAIT_MS if is_hedge else journey.max_wait_ms,
+            original,
+            sent_ms=started_ms,
+            remaining_ms=remaining_ms,
+            # A request past its objective is sent with 1 ms, because 0 means
+            # that the route has no latency objective.
+            aim_ms=max(1, original.aim_ms - spent_ms) if original.aim_ms else 0,
+            max_wait_ms=HEDGE_MAX_WAIT_MS if is_hedge else state.max_wait_ms,
             bind_late=binding is not None,
         )
-        if binding is None and journey.attempts > journey.redirects:
+        if binding is None and state.attempts > state.redirects:
             request = self._mark_retry(request)
-        journey.attempts += 1
-        journey.attempted_nodes.add(target.node)
-        self.load_balancer.on_sent(target, begun_ms)
-        # Where another target answers first, this try is cancelled.
-        seen = RequestOutcome(TargetResult.NEUTRAL)
+        state.attempts += 1
+        state.attempted_nodes.add(target.node)
+        self.load_balancer.on_sent(target, started_ms)
+        # If another target answers first, this attempt is cancelled; a
+        # cancelled attempt says nothing about its target.
+        outcome = RequestOutcome(TargetResult.NEUTRAL)
         try:
             reply = await self._send(target, request, binding)
-            took_ms = self.clock.now_ms() - begun_ms
+            took_ms = self.clock.now_ms() - started_ms
             if was_declined(request, reply):
-                journey.record_decline(target, reply, is_offer=not is_hedge)
-            seen = observation(request, reply, took_ms, first.aim_ms)
-            _trace_try(target, reply.error or str(reply.status), took_ms)
+                state.record_decline(target, reply, is_offer=not is_hedge)
+            outcome = observation(request, reply, took_ms, original.aim_ms)
+            _trace_attempt(target, reply.error or str(reply.status), took_ms)
             if self.hedging is not None and was_served(reply):
                 self.hedging.add_response_time(
                     request.route, took_ms, self.clock.now_ms()
@@ -374,29 +390,31 @@
         except asyncio.CancelledError:
             if binding is not None and binding.node != target.node:
                 raise
-            took_ms = self.clock.now_ms() - begun_ms
-            _trace_try(target, "given_up", took_ms)
-            if self._is_overdue(request, took_ms):
-                seen = RequestOutcome(
+            took_ms = self.clock.now_ms() - started_ms
+            _trace_attempt(target, "given_up", took_ms)
+            if self._is_past_hedge_delay(request, took_ms):
+                outcome = RequestOutcome(
                     TargetResult.SLOW,
                     took_ms=took_ms,
-                    route=first.route,
-                    aim_ms=first.aim_ms,
+                    route=original.route,
+                    aim_ms=original.aim_ms,
                 )
             raise
         finally:
             candidates = self.index.of(request.upstream)
             now_ms = self.clock.now_ms()
-            self.load_balancer.on_ended(target, candidates, seen, now_ms)
+            self.load_balancer.on_ended(target, candidates, outcome, now_ms)
             if binding is not None and binding.node != target.node:
-                journey.discard_attempt(target)
+                state.discard_attempt(target)
 
-    def _is_overdue(self, request: ForwardRequest, took_ms: float) -> bool:
+    def _is_past_hedge_delay(
+        self, request: ForwardRequest, took_ms: float
+    ) -> bool:
         if self.hedging is None:
             return False
         now_ms = self.clock.now_ms()
-        after_ms = self.hedging.delay_ms(request.route, math.inf, now_ms)
-        return after_ms is not None and took_ms >= after_ms
+        hedge_delay_ms = self.hedging.delay_ms(request.route, math.inf, now_ms)
+        return hedge_delay_ms is not None and took_ms >= hedge_delay_ms
 
     async def _send(
         self,
@@ -409,7 +427,7 @@
             return error_reply(request.request_id, error)
         is_own = target.node == self.members.own.node
         if not is_own:
-            request = self._hold_back(request, target)
+            request = self._defer_body(request, target)
         if binding is None:
             if is_own:
                 return await self.owner.serve(request)
@@ -424,13 +442,13 @@
             request, lambda: binding.bind(target.node)
         )
 
-    def _hold_back(
+    def _defer_body(
         self, request: ForwardRequest, target: MemberEntry
     ) -> ForwardRequest:
-        least: float = self.deferred_body_min_bytes
+        min_bytes: float = self.deferred_body_min_bytes
         if target.data_centre == self.members.own.data_centre:
-            least = max(least, HOLD_BACK_MS * self.uplink_bytes_per_ms)
-        if rest_of(request) or len(request.body) < least:
+            min_bytes = max(min_bytes, HOLD_BACK_MS * self.uplink_bytes_per_ms)
+        if rest_of(request) or len(request.body) < min_bytes:
             return request
         head = attrs.evolve(
             request, body=b"", fingerprint=request_fingerprint(request)
@@ -444,56 +462,57 @@
         marked = (*request.headers, Header(name=name, value=b"1"))
         return attrs.evolve(request, headers=marked)
 
-    def _decide(
-        self, journey: ForwardingState, reply: ForwardReply
+    def _decide_retry(
+        self, state: ForwardingState, reply: ForwardReply
     ) -> Retry | None:
         error = reply_error(reply)
         if error is None and not is_shed(reply):
             return None
-        request = journey.request
+        request = state.request
         if rest_of(reply) is not None or not can_resend(request):
             return None
         now_ms = self.clock.now_ms()
         attempt = FailedAttempt(
             error=error.kind if error else None,
             idempotent=request.idempotent,
-            attempts=journey.attempts,
-            transparent_retries=journey.redirects,
-            remaining_ms=journey.deadline_ms - now_ms,
-            is_retry=journey.is_retry,
-            other_has_capacity=self._other_room(journey, now_ms),
+            attempts=state.attempts,
+            transparent_retries=state.redirects,
+            remaining_ms=state.deadline_ms - now_ms,
+            is_retry=state.is_retry,
+            other_has_capacity=self._other_has_capacity(state, now_ms),
             max_attempts=request.max_attempts or MAX_ATTEMPTS,
         )
         retry = self.retries.decide(request.upstream, attempt, now_ms)
         if retry is not None and retry.transparent:
-            journey.redirects += 1
+            state.redirects += 1
         return retry
 
-    def _other_room(self, journey: ForwardingState, now_ms: int) -> bool:
-        traffic_class = load_class(journey.request)
-        candidates = self.index.of(journey.request.upstream)
+    def _other_has_capacity(self, state: ForwardingState, now_ms: int) -> bool:
+        traffic_class = load_class(state.request)
+        candidates = self.index.of(state.request.upstream)
         other = self.load_balancer.pick(
-            candidates, journey.attempted_nodes, traffic_class, now_ms
+            candidates, state.attempted_nodes, traffic_class, now_ms
         )
         if other is None:
             return False
         if self.retries.free_rejections:
-            # Asking costs nothing, and what is urgent may be taken also where
-            # all slots are busy.
+            # An offer that is rejected does not use the retry budget, and a
+            # target with all slots busy may still queue an urgent request.
             return self.load_balancer.may_accept(other, traffic_class, now_ms)
         return self.load_balancer.has_capacity(other, traffic_class, now_ms)
 
 
-def _put_away(journey: ForwardingState, reply: ForwardReply) -> None:
-    """Takes a reply that came beside a better one."""
-    journey.record_reply(reply)
+def _discard_reply(state: ForwardingState, reply: ForwardReply) -> None:
+    """Records a reply that lost to the other attempt and closes its body."""
+    state.record_reply(reply)
     rest = rest_of(reply)
     if rest is not None:
-        # Nobody will read it; its target would stay busy until the deadline.
+        # No caller reads this body. Left open, the body would occupy a slot
+        # of its target until the request's deadline.
         rest.close()
 
 
-def _trace_try(target: MemberEntry, outcome: str, took_ms: int) -> None:
+def _trace_attempt(target: MemberEntry, outcome: str, took_ms: int) -> None:
     current_trace().attempts.append(
         AttemptTrace(target.node, target.incarnation, outcome, took_ms)
     )
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarding_state.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarding_state.py
@@ -1,4 +1,4 @@
-"""A request on its way from target to target, and what each reply means."""
+"""State of a request while it is forwarded, and how replies are classified."""
 
 import attrs
 
@@ -14,37 +14,43 @@
 from pomelobank_node._requests import ForwardReply, ForwardRequest, reply_error
 from pomelobank_schema.generated.peer import MemberEntry
 
-# Targets that may decline a request before the least busy of them has to take
-# it. With six of ten slots busy, one target in three has none free, and of two
-# in a row one in nine; a third would shorten few waits.
+# Number of targets that may decline a request before the least busy of them
+# has to queue the request. With six of ten slots busy, one target in three has
+# no free slot, and two targets in a row have none for one request in nine; a
+# third offer would shorten few waits.
 MAX_OFFERS = 2
-# The same for a request that then waits at several targets: whichever has a
-# slot first is found without a look at one after the other.
+# The same limit for a request that can bind late. Such a request then waits at
+# several targets at once, so further offers to one target after the other
+# would not find a free slot sooner.
 MAX_OFFERS_BEFORE_LATE_BINDING = 1
-# Longest wait with which a second try of an overdue request is taken. It gets a
-# slot that is free now; under load it would take one from a first try.
+# Longest expected wait with which a target accepts a hedge. A hedge may use a
+# slot that is free now, but a hedge that queues under load would take a slot
+# from a first attempt.
 HEDGE_MAX_WAIT_MS = 1
-# Part of the objective that a request waits at a target without looking for
-# another one. The way to the next takes a few milliseconds, so waiting pays
-# only where it is about as short.
+# Fraction of the latency objective that a request may wait at an offered
+# target before the node offers the request to another target. An offer takes a
+# few milliseconds, so only a wait of about that length is worth keeping.
 OFFER_WAIT_PART = 0.1
 
 
 @attrs.define(eq=False)
 class ForwardingState:
-    """A request and where it has been.
+    """A request and its attempts so far.
 
     Attributes:
         request: The request.
-        deadline_ms: When its caller stops waiting.
-        is_retry: Whether it came in as part of another's retry.
-        attempted_nodes: Nodes that it was sent to.
-        attempts: How often it was sent.
-        redirects: How many of these cost the upstream nothing.
-        may_have_run: Reply of the last try that may have run, if any.
-        offers_left: How many targets may still decline it.
-        declined_wait_ms: Targets that declined it, each with its expected wait.
-        runs_isolated: Whether it is suspected to crash targets.
+        deadline_ms: Time at which the caller stops waiting.
+        is_retry: Whether the request arrived as part of a retry by another
+            node.
+        attempted_nodes: Nodes that the request was sent to.
+        attempts: Number of attempts so far.
+        redirects: Number of these attempts that did not use the upstream's
+            retry budget.
+        may_have_run: Reply of the last attempt that may have run, if any.
+        offers_left: Number of targets that may still decline the request.
+        declined_wait_ms: Expected wait at each target that declined the
+            request.
+        runs_isolated: Whether the request is suspected of crashing targets.
     """
 
     request: ForwardRequest
@@ -60,7 +66,7 @@
 
     @property
     def max_wait_ms(self) -> int:
-        """Longest wait with which it is offered now; 0 for any."""
+        """Longest wait that a target may accept the request with; 0 for any."""
         if not self.offers_left:
             return 0
         request = self.request
@@ -70,12 +76,13 @@
     def record_decline(
         self, target: MemberEntry, reply: ForwardReply, is_offer: bool = True
     ) -> None:
-        """Takes note that a target declined it, which is no try.
+        """Handles a declined offer, which does not count as an attempt.
 
         Args:
-            target: The target.
-            reply: What its node said.
-            is_offer: Whether it was the first try, and not one beside it.
+            target: The target that declined the request.
+            reply: The reply of the target's node.
+            is_offer: Whether the declined attempt was an offer; False for a
+                hedge, which does not use up an offer.
         """
         self.attempts -= 1
         if is_offer:
@@ -83,32 +90,33 @@
             self.declined_wait_ms[target] = reply.retry_after_ms
 
     def discard_attempt(self, target: MemberEntry) -> None:
-        """Takes note that it only waited at a target, which is no try."""
+        """Removes an attempt in which the request only waited at a target."""
         self.attempts -= 1
         self.attempted_nodes.discard(target.node)
 
     def least_busy(self) -> MemberEntry:
-        """Returns the target with the shortest wait of those that declined."""
+        """Returns the declining target with the shortest expected wait."""
         return min(
             self.declined_wait_ms,
             key=lambda entry: self.declined_wait_ms[entry],
         )
 
     def record_reply(self, reply: ForwardReply) -> None:
-        """Keeps the reply of a try that may have run."""
+        """Keeps the reply of an attempt that may have run."""
         error = reply_error(reply)
-        not_run = (
+        has_not_run = (
             error and ERROR_RESPONSES[error.kind].run_state is RunState.NOT_RUN
         )
-        if not not_run:
+        if not has_not_run:
             self.may_have_run = reply
 
     def final_reply(self, reply: ForwardReply) -> ForwardReply:
-        """Returns what the caller is told, given the last try's reply.
+        """Returns the reply for the caller, given the last attempt's reply.
 
-        The last try may have been refused as not run after an earlier one was
-        lost at a target. Told of the last one only, the caller would believe
-        that the request has not run at all and lodge it anew.
+        The last attempt may have been rejected as not run after an earlier
+        attempt was lost at a target. A caller that received only the last
+        reply would conclude that the request has not run at all and would send
+        the request again.
         """
         error = reply_error(reply)
         if error is None or self.may_have_run is None:
@@ -121,19 +129,20 @@
 
 
 def load_class(request: ForwardRequest) -> str:
-    """Returns the requests that a target's refusal of one tells about.
+    """Returns the key by which rejections by a target are remembered.
 
-    A target that has no room for a report may well take a call that runs
-    before the reports.
+    The key joins traffic class and priority, because a target that has no
+    capacity for a report may still accept a request that runs before reports.
     """
     return f"{request.traffic_class}/{request.priority}"
 
 
 def is_shed(reply: ForwardReply) -> bool:
-    """Tells whether a target turned the request away with its answer.
+    """Tells whether the target itself shed the request with its response.
 
-    A target that passes on what a node said to its own call has not shed:
-    the node nearest to that failure has retried what could be retried.
+    A target that passes on a node's error about its own call has not shed
+    load: the node nearest to that failure has already retried the call where
+    a retry was allowed.
     """
     if reply.error or not reply.retry_after_ms:
         return False
@@ -141,27 +150,27 @@
 
 
 def was_served(reply: ForwardReply) -> bool:
-    """Tells whether a target has answered, whatever it said."""
+    """Tells whether a target has responded without shedding the request."""
     return not reply.error and not is_shed(reply)
 
 
 def was_declined(request: ForwardRequest, reply: ForwardReply) -> bool:
-    """Tells whether a target declined a request that was offered to it."""
-    busy = reply.error == ErrorKind.OVERLOADED.value
-    return busy and request.max_wait_ms > 0
+    """Tells whether a target declined an offer that limits the wait."""
+    is_overloaded = reply.error == ErrorKind.OVERLOADED.value
+    return is_overloaded and request.max_wait_ms > 0
 
 
 def observation(
     request: ForwardRequest, reply: ForwardReply, took_ms: int, aim_ms: int
 ) -> RequestOutcome:
-    """Returns what a reply says about the target that sent it.
+    """Returns the outcome that the load balancer records for the target.
 
     Args:
-        request: The request as it was sent in this try.
+        request: The request as it was sent in this attempt.
         reply: The reply.
-        took_ms: Time that the try took.
-        aim_ms: Objective of the whole request, of which earlier tries may have
-            used a part.
+        took_ms: Time that the attempt took.
+        aim_ms: Latency objective of the whole request, part of which earlier
+            attempts may have used.
     """
     error = reply_error(reply)
     if was_declined(request, reply):
--- a/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
@@ -1,4 +1,4 @@
-"""Lets a request wait at several targets; the first with a slot runs it."""
+"""Queues a request at several targets; the first with a free slot runs it."""
 
 import asyncio
 
@@ -9,15 +9,15 @@
 from pomelobank_node._forwarding_state import ForwardingState, was_served
 from pomelobank_node._requests import ForwardReply
 
-# Slots in front of which a request waits at the same time. Each further target
-# shortens the wait by less and costs the same frames; targets with half as many
-# slots of their own free one soon enough.
+# Number of slots, over all targets, that a late-bound request waits for. Each
+# further target shortens the wait by less and costs the same number of frames.
+# A target that has half as many slots frees a slot soon enough on its own.
 LATE_BINDING_SLOTS = 15
 _SEVERAL = 2
 
 
 def late_binding_target_count(candidates: Candidates) -> int:
-    """Returns at how many of an upstream's targets a request waits.
+    """Returns the number of an upstream's targets that a request waits at.
 
     Args:
         candidates: The upstream's targets.
@@ -25,46 +25,49 @@
     return LATE_BINDING_SLOTS // max(1, candidates.max_slots)
 
 
-def may_bind_late(journey: ForwardingState, candidates: Candidates) -> bool:
+def may_bind_late(state: ForwardingState, candidates: Candidates) -> bool:
     """Tells whether a request may wait at several targets.
 
-    It is sent to each of them, and a peer of an earlier version runs it
-    unasked; so it has to be idempotent and without a body. A caller that has
-    come back would take several places in queues from newcomers.
+    The request is sent to each of the targets, and a peer of an earlier
+    version runs the request without offering a slot first, so the request must
+    be idempotent and without a body. The request of a caller that retries does
+    not bind late, because it would take a place in several queues from the
+    requests of new callers.
 
     Args:
-        journey: The request and where it has been.
-        candidates: Its upstream's targets.
+        state: The request and its attempts so far.
+        candidates: The targets of the request's upstream.
     """
     if late_binding_target_count(candidates) < _SEVERAL:
         return False
-    request = journey.request
-    if journey.runs_isolated or not request.idempotent:
+    request = state.request
+    if state.runs_isolated or not request.idempotent:
         return False
     return not (request.body or rest_of(request) or request.spent_ms)
 
 
 @attrs.define(eq=False)
 class LateBinding:
-    """Decides which of several targets runs a request.
+    """Binds a request to the first of several targets that offers a slot.
 
     Load pattern: targets with few slots, all busy with work of hundreds of
-    milliseconds, and requests that take a tenth of that. What a sender knows of
-    a queue is older than the queue, so a request that picks one target waits
-    for that target's next slot; of several targets, one has a slot much sooner
-    (late binding: K. Ousterhout et al., "Sparrow: Distributed, Low Latency
-    Scheduling", 2013).
+    milliseconds, and requests that take a tenth of that time. A sender's load
+    information about a queue is older than the queue itself, so a request that
+    is queued at one target waits for the next slot of that target. Of several
+    targets, one frees a slot much sooner (late binding: K. Ousterhout et al.,
+    "Sparrow: Distributed, Low Latency Scheduling", 2013).
 
     Attributes:
-        node: Node of the target that runs it; empty until one has a slot.
-        attempts: The request's tries, by node.
+        node: Node of the target that runs the request; empty until a target
+            has offered a slot.
+        attempts: The request's attempts, by node.
     """
 
     node: str = ""
     attempts: dict[str, asyncio.Task[ForwardReply]] = attrs.field(factory=dict)
 
     def bind(self, node: str) -> bool:
-        """Takes a slot that a target offers; returns whether it is wanted."""
+        """Handles an offered slot; returns whether the request accepts it."""
         if not self.node:
             self.node = node
             for other, task in self.attempts.items():
@@ -73,8 +76,8 @@
         return self.node == node
 
     async def reply(self) -> ForwardReply:
-        """Returns the answer, or the refusal that names the shortest wait."""
-        refusals: list[ForwardReply] = []
+        """Returns the response, or the rejection with the shortest wait."""
+        rejections: list[ForwardReply] = []
         pending = set(self.attempts.values())
         while pending:
             done, pending = await asyncio.wait(
@@ -86,8 +89,8 @@
                 reply = task.result()
                 if node == self.node or was_served(reply):
                     return reply
-                refusals.append(reply)
-        return min(refusals, key=_preference)
+                rejections.append(reply)
+        return min(rejections, key=_preference)
 
     def cancel(self) -> None:
         """Withdraws the request from every target."""
@@ -95,7 +98,8 @@
             task.cancel()
 
 
-def _preference(refusal: ForwardReply) -> tuple[bool, int]:
-    # A stream that broke while the request waited says nothing of the others.
-    is_lost = refusal.error != ErrorKind.OVERLOADED.value
-    return is_lost, refusal.retry_after_ms
+def _preference(rejection: ForwardReply) -> tuple[bool, int]:
+    # A stream that broke while the request waited says nothing about the load
+    # of the other targets, so a rejection as overloaded is preferred.
+    is_not_overload = rejection.error != ErrorKind.OVERLOADED.value
+    return is_not_overload, rejection.retry_after_ms
--- a/packages/pomelobank-node/src/pomelobank_node/_owner.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_owner.py
@@ -36,21 +36,24 @@
 
 _logger = logging.getLogger(__name__)
 _MS_PER_S = 1000
-# Statuses by which a target says that it has too much to do.
+# Statuses that a target sheds load with.
 _SHED_STATUSES = frozenset({429, 503})
-# An answer this fast, or in less than half the route's usual time, was made
-# without working on the request.
-_QUICK_MS = 5.0
-# How soon another try at a target that sheds may fare better.
+# A shedding status within this time, or within half of the route's expected
+# service time, means that the target rejected the request without running it.
+_QUICK_RESPONSE_MS = 5.0
+# Time after which a target that sheds load is worth another attempt.
 _SHED_RETRY_AFTER_MS = 200
-# Longest time that a slot stays free for the sender's answer. It is a round
-# trip away; a sender that is dark or stopped must not keep the slot.
-_OFFER_S = 0.1
-# Longest time that a slot stays free for a body that was held back.
-_BODY_S = 0.5
+# Longest time that a slot is reserved until the sender accepts the offer. The
+# acceptance takes one round trip; an unreachable or stopped sender must not
+# keep the slot.
+_OFFER_TIMEOUT_S = 0.1
+# Longest time that a slot is reserved while a deferred body arrives.
+_BODY_TIMEOUT_S = 0.5
 SlotOfferer = Callable[[], Awaitable[bool]]
-_BROKEN = frozenset({ErrorKind.UPSTREAM_LOST, ErrorKind.ANSWER_TRUNCATED})
-_RESULTS = {
+_CONNECTION_LOST_ERRORS = frozenset(
+    {ErrorKind.UPSTREAM_LOST, ErrorKind.ANSWER_TRUNCATED}
+)
+_WORK_RESULTS = {
     ErrorKind.UPSTREAM_LOST: WorkResult.LOST,
     ErrorKind.ANSWER_TRUNCATED: WorkResult.LOST,
     ErrorKind.UPSTREAM_UNREACHABLE: WorkResult.LOST,
@@ -60,14 +63,15 @@
 
 @attrs.frozen
 class Target:
-    """The upstream instance beside the node, as it announced itself.
+    """The upstream instance beside the node, as announced by the instance.
 
     Attributes:
-        upstream: Name of the upstream that it belongs to.
-        address: Its address, IP:PORT.
-        slots: Requests that it runs at once.
-        instance: Its name, which requests to it bear.
-        started_at_ms: When it started, in ms since the epoch; 0 where unknown.
+        upstream: Name of the upstream that the instance belongs to.
+        address: The instance's address, IP:PORT.
+        slots: Number of requests that the instance runs at once.
+        instance: The instance's name, which the node sends with each request.
+        started_at_ms: Start time of the instance in ms since the epoch; 0 if
+            unknown.
     """
 
     upstream: str
@@ -79,20 +83,20 @@
 
 @attrs.define
 class Owner:
-    """The only way to the node's target, so that its counts are exact.
+    """Runs all requests for the node's target, so that its counts are exact.
 
     Attributes:
         settings: Limits of requests.
-        clock: Tells the time.
-        crash_reports: Knows the requests that crash targets.
+        clock: Source of the current time.
+        crash_reports: Records which requests crash targets.
         http_conventions: Names of the headers that the target understands.
-        target: The target, None before it announced itself.
-        pool: Connections to it.
-        admission_queue: Where requests wait for a slot.
-        crash_detector: Notices crashes of the target.
-        log_limiter: Bounds the lines that are logged.
-        draining: Set when no new request is taken.
-        shutdown_admission: Refuses requests that may outlast a stopping node.
+        target: The target, None until the target has announced itself.
+        pool: Connections to the target.
+        admission_queue: Queue of the requests that wait for a slot.
+        crash_detector: Detects crashes of the target.
+        log_limiter: Limits the rate of log lines.
+        draining: Whether new requests are rejected.
+        shutdown_admission: Rejects requests that may outlast a stopping node.
     """
 
     settings: RequestSettings
@@ -110,25 +114,27 @@
     )
 
     @crash_detector.default
-    def _new_watch(self) -> CrashDetector:
+    def _new_crash_detector(self) -> CrashDetector:
         return CrashDetector(self.crash_reports)
 
     @admission_queue.default
-    def _new_gate(self) -> AdmissionQueue:
+    def _new_admission_queue(self) -> AdmissionQueue:
         return AdmissionQueue(new_admission(self.settings), self.clock)
 
     @property
     def in_flight(self) -> int:
-        """Requests that are at the target."""
+        """Number of requests that run on the target."""
         return self.admission_queue.admission.in_flight
 
     def set_target(self, target: Target) -> None:
-        """Takes an announcement of the target."""
+        """Handles an announcement of the target."""
         if target == self.target:
             return
-        known, self.target = self.target, target
+        previous, self.target = self.target, target
         self.admission_queue.set_slots(target.slots)
-        if known is None or _start_of(known) != _start_of(target):
+        if previous is None or _process_identity(previous) != _process_identity(
+            target
+        ):
             self._connect(target)
 
     def _connect(self, target: Target) -> None:
@@ -149,20 +155,21 @@
         """Runs a request on the target.
 
         Args:
-            request: The request, wherever it came in.
-            offer_slot: Offers the slot to the sender of a request that binds
-                late; returns whether the sender takes it.
+            request: The request, from this node's callers or from a peer.
+            offer_slot: Offers the slot to the sender of a late-bound request;
+                returns whether the sender accepts the slot.
 
         Returns:
-            The target's answer, or the error that ended the request.
+            The target's response, or the error that ended the request.
         """
         request_id.set(request.trace_id)
         try:
             return await self._serve(request, offer_slot)
         except RequestError as error:
-            declined = error.kind is ErrorKind.OVERLOADED
-            if not declined or not (request.max_wait_ms or request.bind_late):
-                # What was declined here stands in the entry's line.
+            overloaded = error.kind is ErrorKind.OVERLOADED
+            if not overloaded or not (request.max_wait_ms or request.bind_late):
+                # The entry node logs a declined offer as one of the attempts of
+                # its request, so this node does not log the offer again.
                 self._log_failure(request, error)
             return error_reply(request.request_id, error)
 
@@ -206,22 +213,24 @@
         now_ms = self.clock.now_ms()
         if not self.shutdown_admission.accepts(request.remaining_ms, now_ms):
             raise RequestError(ErrorKind.DRAINING)
-        standing = self.crash_reports.check(request)
-        ticket = AdmissionRequest(
+        quarantine_state = self.crash_reports.check(request)
+        admission_request = AdmissionRequest(
             _traffic_class(request),
             request.route,
             deadline_ms=now_ms + request.remaining_ms,
-            isolated=standing is QuarantineState.SUSPECT,
+            isolated=quarantine_state is QuarantineState.SUSPECT,
             priority=request.priority,
             objective_at_ms=now_ms + (request.aim_ms or request.remaining_ms),
             max_wait_ms=request.max_wait_ms or math.inf,
         )
-        await self.admission_queue.acquire(ticket)
-        return await self._admitted(ticket, self.pool, request, offer_slot)
+        await self.admission_queue.acquire(admission_request)
+        return await self._run_admitted(
+            admission_request, self.pool, request, offer_slot
+        )
 
-    async def _admitted(
+    async def _run_admitted(
         self,
-        ticket: AdmissionRequest,
+        admission_request: AdmissionRequest,
         pool: UpstreamPool,
         request: ForwardRequest,
         offer_slot: SlotOfferer | None,
@@ -229,30 +238,33 @@
         result = WorkResult.ABANDONED
         try:
             if offer_slot is not None:
-                await _bind(offer_slot)
+                await _await_slot_acceptance(offer_slot)
             if request.fingerprint:
-                request = await _with_body(request)
-            left_ms = int(ticket.deadline_ms) - self.clock.now_ms()
-            if left_ms <= 0:
+                request = await _read_deferred_body(request)
+            remaining_ms = (
+                int(admission_request.deadline_ms) - self.clock.now_ms()
+            )
+            if remaining_ms <= 0:
                 raise RequestError(ErrorKind.DEADLINE_NOT_RUN)
-            if left_ms != request.remaining_ms:
-                request = attrs.evolve(request, remaining_ms=left_ms)
-            reply = await self._run_watched(pool, request)
-            if self._is_shed(ticket, reply):
+            if remaining_ms != request.remaining_ms:
+                request = attrs.evolve(request, remaining_ms=remaining_ms)
+            reply = await self._run_on_target(pool, request)
+            if self._is_shed(admission_request, reply):
                 result = WorkResult.SHED
                 reply = attrs.evolve(reply, retry_after_ms=_SHED_RETRY_AFTER_MS)
             else:
                 result = WorkResult.RESPONDED
         except BaseException as error:
             if isinstance(error, RequestError):
-                result = _RESULTS.get(error.kind, result)
-            self.admission_queue.release(ticket, result)
+                result = _WORK_RESULTS.get(error.kind, result)
+            self.admission_queue.release(admission_request, result)
             raise
         return with_end_callback(
-            reply, lambda: self.admission_queue.release(ticket, result)
+            reply,
+            lambda: self.admission_queue.release(admission_request, result),
         )
 
-    async def _run_watched(
+    async def _run_on_target(
         self, pool: UpstreamPool, request: ForwardRequest
     ) -> ForwardReply:
         with self.crash_detector.track(request):
@@ -265,7 +277,10 @@
                     self.target.instance if self.target else "",
                 )
             except RequestError as error:
-                if error.kind in _BROKEN and self.target is not None:
+                if (
+                    error.kind in _CONNECTION_LOST_ERRORS
+                    and self.target is not None
+                ):
                     await self.crash_detector.on_connection_lost(
                         self.target.address
                     )
@@ -273,21 +288,25 @@
         self.crash_reports.on_request_completed(request)
         return reply
 
-    def _is_shed(self, ticket: AdmissionRequest, reply: ForwardReply) -> bool:
+    def _is_shed(
+        self, admission_request: AdmissionRequest, reply: ForwardReply
+    ) -> bool:
         if self.http_conventions.not_run or reply.status not in _SHED_STATUSES:
             return False
-        assert ticket.started_ms is not None
-        took_ms = self.clock.now_ms() - ticket.started_ms
-        usual_ms = self.admission_queue.expected_service_ms(ticket.route)
-        return took_ms <= max(_QUICK_MS, usual_ms / 2)
+        assert admission_request.started_ms is not None
+        took_ms = self.clock.now_ms() - admission_request.started_ms
+        expected_ms = self.admission_queue.expected_service_ms(
+            admission_request.route
+        )
+        return took_ms <= max(_QUICK_RESPONSE_MS, expected_ms / 2)
 
     def reject_new_requests(self) -> None:
-        """Takes no new request; what still waits for a slot goes elsewhere."""
+        """Rejects new and queued requests, so that other targets run them."""
         self.draining = True
         self.admission_queue.reject_waiting()
 
     async def drain(self, timeout_ms: int) -> None:
-        """Takes no new request and waits for those in flight.
+        """Rejects new requests and waits for those in flight.
 
         Args:
             timeout_ms: Longest wait.
@@ -302,25 +321,25 @@
             self.pool.close()
 
 
-async def _bind(offer_slot: SlotOfferer) -> None:
+async def _await_slot_acceptance(offer_slot: SlotOfferer) -> None:
     try:
-        async with asyncio.timeout(_OFFER_S):
-            taken = await offer_slot()
+        async with asyncio.timeout(_OFFER_TIMEOUT_S):
+            accepted = await offer_slot()
     except TimeoutError:
-        taken = False
-    if not taken:
+        accepted = False
+    if not accepted:
         raise RequestError(ErrorKind.OVERLOADED)
 
 
-async def _with_body(request: ForwardRequest) -> ForwardRequest:
+async def _read_deferred_body(request: ForwardRequest) -> ForwardRequest:
     try:
-        async with asyncio.timeout(_BODY_S):
+        async with asyncio.timeout(_BODY_TIMEOUT_S):
             return await read_full_request(request)
     except TimeoutError:
         raise RequestError(ErrorKind.OVERLOADED) from None
 
 
-def _start_of(target: Target) -> tuple[str, str, int]:
+def _process_identity(target: Target) -> tuple[str, str, int]:
     return target.address, target.instance, target.started_at_ms
 
 
@@ -328,5 +347,6 @@
     try:
         return TrafficClass(request.traffic_class)
     except ValueError:
-        # A newer node may know more classes; its caller must get an answer.
+        # A node of a newer version may send a class that this version does not
+        # know. Its request is run as interactive instead of failing.
         return TrafficClass.INTERACTIVE
