--- a/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
@@ -1,4 +1,4 @@
-"""Streams to peers: one connection per peer, opened on need."""
+"""Streams to peers: one connection per peer, opened on demand."""
 
 import asyncio
 import math
@@ -19,34 +19,35 @@
 from pomelobank_schema.generated.peer import Hello
 
 PROTOCOL_VERSION = 1
-# Ten round trips between the regions. A peer that is dark answers nothing, and
-# whoever waits for it could be served elsewhere.
+# Ten round trips between the regions. An unreachable peer sends no answer, and
+# a request that waits for the connection could run on another target.
 CONNECT_TIMEOUT_S = 0.5
-# After a peer could not be reached, it is held to be unreachable for so long.
-# Requests that came meanwhile would else try it one after the other, each for
-# the whole time-out.
+# Time for which a peer counts as unreachable after a connection attempt timed
+# out. Without this pause, queued requests would try to connect one after the
+# other, and each would wait for the whole connection time-out.
 UNREACHABLE_S = 0.5
 DEFAULT_CONNECT_LIMIT = 32
 _MS_PER_S = 1000
 
-# Takes a frame that answers no request, and how to reply on its stream.
+# Handles a frame that belongs to no request. The second argument sends a reply
+# on the stream that the frame arrived on.
 FrameTaker = Callable[[WireMessage, Callable[[WireMessage], None]], None]
 
 
 @attrs.define(eq=False)
 class PeerLink:
-    """A stream that this node opened to one peer.
+    """The link to one peer, with at most one open stream at a time.
 
     Attributes:
         address: The peer's address.
-        hello: What this node says of itself.
-        current: The open stream, None while there is none.
-        ended_late_frames: Late and unknown frames of streams that are closed.
+        hello: Frame that introduces this node to the peer.
+        current: The open stream, None while the link has no open stream.
+        ended_late_frames: Late and unknown frames of closed streams.
         tasks: Tasks of the streams that are not closed yet.
         loop: The event loop.
-        links: All links of the node, with what they share.
-        used_s: Time of the event loop when the link was last used.
-        failed_s: Time of the event loop when the peer was last unreachable.
+        links: All links of the node, with the state that they share.
+        used_s: Event loop time at which the link was last used.
+        failed_s: Event loop time at which a connection attempt last timed out.
     """
 
     address: str
@@ -64,14 +65,14 @@
 
     @property
     def late_replies(self) -> int:
-        """Frames that nobody waited for any more, or ever did."""
+        """Number of frames for ended requests or unknown request ids."""
         if self.current is None:
             return self.ended_late_frames
         table = self.current.table
         return self.ended_late_frames + table.late_frames + table.unknown_frames
 
     async def connect(self) -> OutgoingStream:
-        """Returns the open stream, opening it where there is none.
+        """Returns the open stream; opens a stream if the link has none.
 
         Raises:
             RequestError: PEER_UNREACHABLE.
@@ -104,7 +105,7 @@
         except OSError:
             raise RequestError(ErrorKind.PEER_UNREACHABLE) from None
         stream.send(self.hello)
-        outgoing = OutgoingStream(self.address, stream, self._take)
+        outgoing = OutgoingStream(self.address, stream, self._handle_frame)
         task = asyncio.create_task(
             self._run(outgoing), name=f"peer-link-{self.address}"
         )
@@ -112,7 +113,7 @@
         task.add_done_callback(self.tasks.discard)
         return outgoing
 
-    def _take(self, frame: WireMessage, stream: FrameStream) -> None:
+    def _handle_frame(self, frame: WireMessage, stream: FrameStream) -> None:
         if self.links.on_frame is not None:
             self.links.on_frame(frame, stream.send)
 
@@ -127,7 +128,7 @@
                 self.current = None
 
     async def send(self, message: WireMessage) -> None:
-        """Sends a frame that needs no answer.
+        """Sends a frame that expects no reply.
 
         Raises:
             RequestError: PEER_UNREACHABLE.
@@ -141,12 +142,13 @@
         """Sends a request and waits for its reply.
 
         Args:
-            request: The request; its id is set here.
-            on_slot: Tells whether a request that binds late takes a slot.
+            request: The request; the stream assigns its id.
+            on_slot: Decides whether a late-bound request accepts an offered
+                slot.
 
         Returns:
-            The reply; PEER_UNREACHABLE where no byte of the request was sent
-            and PEER_LOST where the stream broke after that.
+            The reply; PEER_UNREACHABLE if no byte of the request was sent, and
+            PEER_LOST if the stream broke after that.
         """
         self.used_s = self.loop.time()
         current = self.current
@@ -160,34 +162,34 @@
     async def _connect_for(
         self, request: ForwardRequest
     ) -> tuple[OutgoingStream, ForwardRequest]:
-        begun_s = self.loop.time()
+        started_s = self.loop.time()
         try:
             async with asyncio.timeout(request.remaining_ms / _MS_PER_S):
                 current = await self.connect()
         except TimeoutError:
             raise RequestError(ErrorKind.DEADLINE_NOT_RUN) from None
-        taken_ms = int((self.loop.time() - begun_s) * _MS_PER_S)
+        elapsed_ms = int((self.loop.time() - started_s) * _MS_PER_S)
         return current, attrs.evolve(
             request,
-            sent_ms=request.sent_ms + taken_ms,
-            remaining_ms=request.remaining_ms - taken_ms,
+            sent_ms=request.sent_ms + elapsed_ms,
+            remaining_ms=request.remaining_ms - elapsed_ms,
         )
 
     def disconnect(self) -> None:
-        """Gives up the stream; what waits for it ends as lost."""
+        """Aborts the stream and ends its pending requests with an error."""
         current, self.current = self.current, None
         if current is not None:
             current.on_stream_lost()
             current.stream.abort()
 
     def is_idle(self, since_s: float) -> bool:
-        """Tells whether the open stream was not used since a time."""
+        """Tells whether the open stream has been unused since a time."""
         if self.current is None or self.current.calls:
             return False
         return self.used_s < since_s
 
     def is_forgotten(self, since_s: float) -> bool:
-        """Tells whether there is no stream and none was asked for since."""
+        """Tells whether the link has had no stream and no use since a time."""
         unused = self.current is None and not self.tasks
         return unused and self.used_s < since_s and not self.connecting.locked()
 
@@ -204,13 +206,14 @@
     """All links of the node, by the peer's address.
 
     Attributes:
-        hello: What this node says of itself.
-        connect_limit: Streams that are being opened at once. When most of the
-            fleet returns, or a cut data centre makes every attempt wait for
-            its time-out, each further handshake only delays the others.
-        on_frame: Takes frames that answer no request.
+        hello: Frame that introduces this node to its peers.
+        connect_limit: Maximum number of streams that the node opens at once.
+            When most of the fleet returns, or when every connection attempt to
+            a partitioned data centre times out, each further handshake only
+            delays the others.
+        on_frame: Handles frames that belong to no request.
         links: The links.
-        handshakes: Room for streams that are being opened.
+        handshakes: Semaphore that enforces `connect_limit`.
         closed_bytes: Bytes sent on streams that have ended.
     """
 
@@ -225,7 +228,7 @@
         self.handshakes = asyncio.Semaphore(self.connect_limit)
 
     def to(self, address: str) -> PeerLink:
-        """Returns the link to an address; it is opened when it is used."""
+        """Returns the link to an address; its stream is opened on first use."""
         link = self.links.get(address)
         if link is None:
             link = self.links[address] = PeerLink(address, self.hello, self)
@@ -240,35 +243,35 @@
         )
 
     def is_open(self, address: str) -> bool:
-        """Tells whether there is an open stream to an address."""
+        """Tells whether the node has an open stream to an address."""
         link = self.links.get(address)
         return link is not None and link.current is not None
 
     def disconnect(self, address: str) -> None:
-        """Gives up the stream to a peer that is held to be gone."""
+        """Aborts the stream to a peer that membership has declared gone."""
         link = self.links.get(address)
         if link is not None:
             link.disconnect()
 
     def close_idle(self, idle_ms: int) -> None:
-        """Closes the streams that carry no request and were long unused."""
+        """Closes idle streams and removes links without a stream."""
         now_s = asyncio.get_running_loop().time()
         since_s = now_s - idle_ms / _MS_PER_S
         for address, link in list(self.links.items()):
             if link.is_idle(since_s):
                 link.disconnect()
             elif link.is_forgotten(since_s):
-                # Each restart of a peer brings a new address; without this
-                # the links to the old ones would pile up.
+                # A restarted peer has a new address. Links to old addresses
+                # would accumulate if the node kept them.
                 del self.links[address]
 
     @property
     def late_replies(self) -> int:
-        """Frames that nobody waited for any more, on all links."""
+        """Number of frames for ended or unknown requests, on all links."""
         return sum(link.late_replies for link in self.links.values())
 
     async def start(self) -> None:
-        """Does nothing; links are opened on need."""
+        """Does nothing; links are opened on demand."""
 
     async def stop(self) -> None:
         """Closes every link."""
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
@@ -1,4 +1,4 @@
-"""Accepts the streams of peers."""
+"""Accepts the streams of peers and runs the peers' requests."""
 
 import asyncio
 import functools
@@ -54,36 +54,39 @@
 
 _logger = logging.getLogger(__name__)
 
-# Requests of one peer that are handled at once. A target has 10 to 20 slots
-# and a short queue, so more than this cannot start in time; the peer is told
-# so at once, and one peer cannot fill this node with tasks.
+# Maximum number of requests of one peer that run or wait at once. A target has
+# 10 to 20 slots and a short queue, so further requests could not start before
+# their deadlines. The node rejects them at once, so that one peer cannot
+# exhaust this node's memory with tasks.
 MAX_RUNNING = 1024
-# Streams of peers. Each of 1,000 nodes opens one; the rest is for streams
-# that are being replaced during a storm of reconnects.
+# Maximum number of accepted streams. Each of 1,000 nodes opens one stream; the
+# remaining capacity is for streams that are replaced during a reconnect storm.
 MAX_STREAMS = 2048
-# After most of the fleet has died, everybody who returns may know the same few
-# members. A handshake that finds no room is repeated after a second, and the
-# herd would look dead to those it cannot reach.
+# Length of the kernel's queue of unaccepted connections. After most of the
+# fleet has crashed, all returning nodes may know the same few members and
+# connect to them at once (a thundering herd). The kernel repeats a handshake
+# that overflows the queue only after a second, and a returning node would look
+# crashed to the members that it cannot reach meanwhile.
 ACCEPT_BACKLOG = 1024
-# Longest wait at a stop for the replies of requests that run; what is left of
-# the grace may be less.
+# Longest wait at a stop for the replies of running requests. The remaining
+# grace period of the process may be shorter.
 _REPLIES_S = 5.0
 
 
 class ConfigFrames(Protocol):
-    """Takes peers' frames about the configuration."""
+    """Handles peers' frames about the configuration."""
 
     def receive(self, frame: WireMessage) -> None:
-        """Takes one frame."""
+        """Handles one frame."""
 
 
 @attrs.define(eq=False)
 class Upload:
-    """The rest of a request's body on its way in.
+    """The rest of a request's body while it is received.
 
     Attributes:
-        buffer: Parts that the target has not taken yet.
-        grants: What the peer may send.
+        buffer: Received parts that have not been read yet.
+        grants: Receive window that limits the bytes that the peer may send.
     """
 
     buffer: BodyBuffer
@@ -97,20 +100,22 @@
     Attributes:
         stream: The stream.
         owner: Runs the peer's requests.
-        membership: Takes the peer's gossip.
-        feed: Takes the peer's frames about the configuration.
-        claims: Runs the peer's requests with an idempotency key, None where
-            keys are left to the targets.
+        membership: Handles the peer's gossip.
+        feed: Handles the peer's frames about the configuration.
+        claims: Runs the peer's requests with an idempotency key once; None if
+            the targets handle the keys themselves.
         running: Tasks of the peer's requests, by request id.
-        uploads: Bodies on their way in, by request id.
-        credits: What the peer granted for answers, by request id.
-        slot_offers: Slots that were offered to the peer, by request id.
-        age: Tells how old the peer's frames are.
-        last_id: Highest request id taken.
-        closing: Whether the peer was told that later ones are not taken.
-        duplicates: Requests whose id had been used.
-        expired: Requests that came after their deadline.
-        late_frames: Frames of requests that had ended.
+        uploads: Request bodies that are being received, by request id.
+        credits: Credit that the peer granted for response bodies, by request
+            id.
+        slot_offers: Slots offered to the peer, by request id.
+        age: Estimates how long the peer's frames were delayed.
+        last_id: Highest request id that the node accepted.
+        closing: Whether the node has announced that it accepts no later
+            request.
+        duplicates: Number of requests whose id had been used before.
+        expired: Number of requests that arrived after their deadline.
+        late_frames: Number of frames of requests that had ended.
     """
 
     stream: FrameStream
@@ -144,20 +149,22 @@
     def start(self, request: ForwardRequest) -> None:
         """Runs one request in a task of its own."""
         if request.request_id <= self.last_id:
-            # Ids only grow. A frame that came twice must not run twice.
+            # The peer assigns increasing ids. A frame that is received twice
+            # must not run twice.
             self.duplicates += 1
             return
         if self.closing:
-            # It crossed the last word, after which the peer sends it elsewhere
-            # as not run. Taken here as well, it would run twice.
+            # The request crossed this node's StreamClosing frame. The peer
+            # treats the request as not run and sends it to another target, so
+            # the request would run twice if this node accepted it.
             return
         self.last_id = request.request_id
         received_ms = self.owner.clock.now_ms()
         age_ms = self.age.age_ms(request.sent_ms, received_ms)
         if age_ms >= request.remaining_ms:
-            # This process or the peer was paused, or the network held the
-            # frame. Its caller has been answered; running it now could only
-            # do harm.
+            # This process or the peer was paused, or the network delayed the
+            # frame. The caller has already received an error, and a request
+            # that runs now could repeat work that the caller sent again.
             self.expired += 1
             self._refuse(request, ErrorKind.DEADLINE_NOT_RUN)
             return
@@ -169,15 +176,15 @@
                 request, remaining_ms=request.remaining_ms - age_ms
             )
         if request.more:
-            request = self._with_rest(request)
+            request = self._with_body_buffer(request)
         self._run(request)
 
     def _run(self, request: ForwardRequest) -> None:
         request_id = request.request_id
         task = asyncio.create_task(self._answer(request))
         self.running[request_id] = task
-        # A task that is cancelled before its first step runs no clean-up of
-        # its own.
+        # A task that is cancelled before its first step never enters its own
+        # `finally` block, so a callback does the clean-up.
         task.add_done_callback(lambda _: self._ended(request_id))
 
     def _ended(self, request_id: int) -> None:
@@ -207,7 +214,8 @@
             del self.credits[request.request_id]
 
     async def _serve(self, request: ForwardRequest) -> ForwardReply:
-        # Without an upstream: the key is to be claimed here first.
+        # A request without an upstream has an idempotency key that this node
+        # must claim before the request is routed.
         if not request.upstream and self.claims is not None:
             return await self.claims.serve(request)
         if not request.bind_late:
@@ -217,40 +225,42 @@
         )
 
     async def _offer_slot(self, request_id: int) -> bool:
-        accepted = asyncio.get_running_loop().create_future()
-        self.slot_offers[request_id] = accepted
+        acceptance = asyncio.get_running_loop().create_future()
+        self.slot_offers[request_id] = acceptance
         self.stream.send(SlotOffer(request_id=request_id))
         try:
-            await accepted
+            await acceptance
         finally:
             del self.slot_offers[request_id]
         return True
 
-    def _with_rest(self, request: ForwardRequest) -> ForwardRequest:
+    def _with_body_buffer(self, request: ForwardRequest) -> ForwardRequest:
         request_id = request.request_id
 
-        def grant(size: int) -> None:
+        def send_credit(size: int) -> None:
             self.stream.send(BodyCredit(request_id=request_id, bytes=size))
 
-        grants = ReceiveWindow(grant, 0)
+        window = ReceiveWindow(send_credit, 0)
         buffer = BodyBuffer(
-            grants.on_read, lambda: self._upload_closed(request_id)
+            window.on_read, lambda: self._upload_closed(request_id)
         )
-        self.uploads[request_id] = Upload(buffer, grants)
+        self.uploads[request_id] = Upload(buffer, window)
         return with_rest(request, buffer)
 
     def _upload_closed(self, request_id: int) -> None:
         self.uploads.pop(request_id, None)
 
     def chunk(self, frame: BodyChunk) -> None:
-        """Takes a part of a request's body."""
+        """Handles a part of a request's body."""
         upload = self.uploads.get(frame.request_id)
         if upload is None:
             self.late_frames += 1
             return
         if not upload.grants.consume(len(frame.data)):
             raise SchemaError(
-                SchemaErrorKind.OUT_OF_RANGE, "", "more bytes than granted"
+                SchemaErrorKind.OUT_OF_RANGE,
+                "",
+                "request body exceeds the granted credit",
             )
         upload.buffer.put(frame.data)
         if frame.aborted:
@@ -259,7 +269,7 @@
             upload.buffer.end()
 
     def credit(self, frame: BodyCredit) -> None:
-        """Takes the peer's leave to send more of an answer."""
+        """Handles the peer's credit for more of a response body."""
         credit = self.credits.get(frame.request_id)
         if credit is None:
             self.late_frames += 1
@@ -267,7 +277,7 @@
         credit.add(max(0, frame.bytes))
 
     def cancel(self, request_id: int) -> None:
-        """Ends a request that its caller gave up."""
+        """Cancels a request that its sender has cancelled."""
         task = self.running.get(request_id)
         if task is None:
             self.late_frames += 1
@@ -275,15 +285,15 @@
         task.cancel()
 
     def accept(self, request_id: int) -> None:
-        """Lets a request run in the slot that the peer was offered."""
-        accepted = self.slot_offers.get(request_id)
-        if accepted is None or accepted.done():
+        """Runs a late-bound request in the slot that the peer has accepted."""
+        acceptance = self.slot_offers.get(request_id)
+        if acceptance is None or acceptance.done():
             self.late_frames += 1
             return
-        accepted.set_result(None)
+        acceptance.set_result(None)
 
     def announce_closing(self) -> None:
-        """Tells the peer that later requests will not be taken."""
+        """Announces to the peer that later requests will not be accepted."""
         self.closing = True
         self.stream.send(StreamClosing(last_request_id=self.last_id))
 
@@ -325,7 +335,8 @@
 
 @handle_frame.register
 def _(frame: ForwardReply, connection: PeerConnection) -> None:
-    # Requests go the other way on this stream, so no caller waits here.
+    # This node sends no requests on a stream that a peer opened, so no caller
+    # waits for this reply.
     connection.late_frames += 1
 
 
@@ -360,13 +371,13 @@
     Attributes:
         listen: Address to listen on.
         owner: Runs peers' requests.
-        membership: Takes peers' gossip.
-        feed: Takes peers' frames about the configuration.
-        claims: Runs peers' requests with an idempotency key, None where keys
-            are left to the targets.
-        address: Address that is really used, once it listens.
+        membership: Handles peers' gossip.
+        feed: Handles peers' frames about the configuration.
+        claims: Runs peers' requests with an idempotency key once; None if the
+            targets handle the keys themselves.
+        address: The bound address, once the server listens.
         connections: Accepted streams and their tasks.
-        rejected_streams: Streams that were closed because there were too many.
+        rejected_streams: Number of streams closed because of `MAX_STREAMS`.
         closed_bytes: Bytes sent on streams that have ended.
     """
 
@@ -393,8 +404,8 @@
             port,
             backlog=ACCEPT_BACKLOG,
         )
-        bound = self.server.sockets[0].getsockname()
-        self.address = f"{bound[0]}:{bound[1]}"
+        socket_address = self.server.sockets[0].getsockname()
+        self.address = f"{socket_address[0]}:{socket_address[1]}"
 
     def _accept(self, stream: FrameStream) -> None:
         if len(self.connections) >= MAX_STREAMS:
@@ -433,9 +444,9 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _wait_for_replies(self) -> None:
-        # A closing stream takes no reply any more. Closed while targets work,
-        # an answer that is ready a moment later is lost, and its caller waits
-        # for it until the deadline.
+        # A closing stream sends no further replies. If the streams were closed
+        # while targets work, a response that is ready shortly afterwards would
+        # be lost, and its caller would wait until the deadline.
         running = [
             task
             for connection in self.connections
