--- a/packages/pomelobank-node/src/pomelobank_node/_body_frames.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_body_frames.py
@@ -1,4 +1,4 @@
-"""Large bodies on a stream between two nodes: chunks one way, credit back."""
+"""Credit-based flow control of large bodies on a stream between two nodes."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,24 +13,24 @@
 
 @attrs.define(eq=False)
 class Credit:
-    """Bytes of one body that its sender may still send.
+    """The sender's side of a body's flow control.
 
     Attributes:
-        available: How many.
-        granted: Set while there are any.
+        available: Bytes that the sender may still send.
+        granted: Set while the sender may send bytes.
     """
 
     available: int = 0
     granted: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def add(self, size: int) -> None:
-        """Takes a grant of the receiver."""
+        """Adds credit that the receiver granted."""
         self.available += size
         if self.available > 0:
             self.granted.set()
 
     def use(self, size: int) -> None:
-        """Notes bytes that were sent."""
+        """Subtracts bytes that were sent."""
         self.available -= size
         if self.available <= 0:
             self.granted.clear()
@@ -40,13 +40,13 @@
 class ReceiveWindow:
     """The receiver's side of a body's flow control.
 
-    Made for archives that a caller reads more slowly than the target writes
-    them: what is on its way is bounded by the window, whatever the body's
-    size. Grants are gathered to half a window, so that they cost one small
-    frame for four chunks.
+    Load pattern: archives that a caller reads more slowly than the target
+    writes them. The window bounds the unread bytes of a body, whatever the size
+    of the body. Credit is granted for half a window at once, which costs one
+    small frame for four chunks.
 
     Attributes:
-        send: Sends a grant of so many bytes.
+        send: Grants the sender a number of bytes.
         allowed: Bytes that the sender may still send.
         freed: Bytes read since the last grant.
     """
@@ -56,10 +56,11 @@
     freed: int = 0
 
     def on_read(self, size: int) -> None:
-        """Notes that so many bytes were read."""
+        """Counts read bytes and grants credit for them."""
         self.freed += size
         if not self.allowed and not self.freed:
-            # The first reader of a body of which nothing may be sent yet.
+            # The first read of a body whose sender has no credit yet: the whole
+            # window is granted.
             self.freed = WINDOW_BYTES
         if self.freed >= WINDOW_BYTES // 2:
             freed, self.freed = self.freed, 0
@@ -67,7 +68,7 @@
             self.send(freed)
 
     def consume(self, size: int) -> bool:
-        """Notes bytes that came in; False where they were not granted."""
+        """Counts received bytes; returns False if they exceed the credit."""
         self.allowed -= size
         return self.allowed >= 0
 
@@ -75,17 +76,17 @@
 async def send_rest(
     stream: FrameStream, request_id: int, rest: BodySource, credit: Credit
 ) -> None:
-    """Sends the rest of a body as its receiver has room for it.
+    """Sends the rest of a body as the receiver grants credit for it.
 
     Args:
-        stream: Where to.
+        stream: Stream to send on.
         request_id: Id of the request.
-        rest: The rest; closed at the end.
-        credit: What the receiver granted.
+        rest: The rest of the body; closed at the end.
+        credit: Credit that the receiver has granted.
     """
     try:
         while data := await rest.read():
-            if not await _send_part(stream, request_id, data, credit):
+            if not await _send_chunks(stream, request_id, data, credit):
                 return
         stream.send(BodyChunk(request_id=request_id))
     except RequestError:
@@ -94,7 +95,7 @@
         rest.close()
 
 
-async def _send_part(
+async def _send_chunks(
     stream: FrameStream, request_id: int, data: bytes, credit: Credit
 ) -> bool:
     sent = 0
--- a/packages/pomelobank-node/src/pomelobank_node/_frames.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_frames.py
@@ -1,4 +1,4 @@
-"""Frames of msgpack on a TCP stream between two nodes."""
+"""Frames encoded as msgpack on a TCP stream between two nodes."""
 
 import asyncio
 import logging
@@ -20,48 +20,50 @@
 
 _logger = logging.getLogger(__name__)
 
-# A frame carries at most one part of a body and its headers, or a batch of
-# records; a sender that exceeds this is broken, and its stream is closed
-# before it fills our memory.
+# Largest frame. A frame carries at most the headers and one part of a body, or
+# a batch of records. A sender that exceeds the limit is faulty, and this node
+# closes the stream before the frame exhausts its memory.
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-# Frames that wait for a peer which does not read. Beyond this the peer is
-# held to be stuck: its stream is closed, so that one frozen peer costs a node
-# a few megabytes and not all its memory.
+# Queued bytes at which a stream is closed because its peer does not read. One
+# frozen peer then costs a node a few megabytes instead of all memory.
 MAX_QUEUED_BYTES = 8 * 1024 * 1024
-# Frames that were read and not handled yet; reading pauses above it.
+# Number of received frames that wait to be handled; reading pauses above it.
 _MAX_READ_AHEAD = 256
-# Bytes that the kernel may hold unsent. What waits beyond that stays in our
-# queue, where a short frame can still overtake the parts of an archive.
+# Unsent bytes that the kernel may hold. Further frames stay in the queue of
+# this process, where a short frame can still overtake the parts of an archive.
 _KERNEL_UNSENT_BYTES = 64 * 1024
 
 
-# A peer that takes nothing for so long is not worth waiting for at a stop.
+# Longest wait at a stop for a peer that does not read or close its stream.
 CLOSE_TIMEOUT_S = 2.0
 
 
 def _ignore(_: int) -> None:
-    """Takes no notice."""
+    """Ignores a written frame."""
 
 
 class FrameStream(asyncio.Protocol):
     """Sends and receives whole frames.
 
-    A frame is handed to the connection at once while the kernel takes it.
-    Later frames wait in a queue of their own, so that it is known of each
-    whether any byte of it may have left.
+    A frame is written to the connection at once while the kernel accepts
+    bytes. Later frames wait in the stream's own queue, so that the stream knows
+    for each frame whether any byte of it may have been sent.
 
     Attributes:
-        loop: The event loop, once there is a connection.
+        loop: The event loop, once the stream is connected.
         bytes_sent: Bytes of all frames sent, for the metrics.
-        bytes_received: Bytes that came in, for the metrics.
-        unknown_frames: Frames of a kind this version does not know.
-        unpacker: Holds the part of a frame that has come; None where there is
-            none.
-        fed_bytes: Bytes that the unpacker was given.
-        queued_bytes: Bytes of the frames that wait.
-        closed: Set once the connection is gone.
-        said_all: Set once no frame may be sent any more.
-        on_written: Called with the tag of a frame when it is handed over.
+        bytes_received: Bytes received, for the metrics.
+        unknown_frames: Number of frames of a kind that this version does not
+            know.
+        unpacker: Holds an incompletely received frame; None if every received
+            frame is complete.
+        fed_bytes: Bytes that were fed to the unpacker.
+        queued_bytes: Bytes of the queued frames.
+        closed: Whether the connection has been lost or closed.
+        said_all: Whether the sending side has been closed, so that no further
+            frame may be sent.
+        on_written: Called with the tag of a frame when the frame is written to
+            the connection.
     """
 
     def __init__(
@@ -89,11 +91,12 @@
         self.queued_bytes = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport and sets the socket options."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.loop = asyncio.get_running_loop()
-        # Be told as soon as the kernel did not take all of a frame.
+        # asyncio then calls pause_writing as soon as the kernel has not
+        # accepted all bytes of a frame.
         transport.set_write_buffer_limits(high=0)
         enable_dead_peer_detection(transport)
         sock = transport.get_extra_info("socket")
@@ -107,21 +110,21 @@
             self.on_connected(self)
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Wakes everyone who waits."""
+        """Wakes the reader and the bodies that wait for their turn."""
         self.closed = True
         self.lost.set()
-        self._wake_reader()
+        self._resume_reader()
         while self.turns:
             turn = self.turns.popleft()
             if not turn.done():
                 turn.set_result(None)
 
     def pause_writing(self) -> None:
-        """Lets frames wait."""
+        """Queues the following frames."""
         self.paused = True
 
     def resume_writing(self) -> None:
-        """Sends the frames that waited, then gives bodies their turns."""
+        """Sends the queued frames, then gives the next body its turn."""
         self.paused = False
         while self.queue and not self.paused:
             data, tag = self.queue.popleft()
@@ -134,11 +137,12 @@
                 return
 
     def send(self, message: WireMessage, tag: int = 0) -> None:
-        """Sends a frame, or queues it behind those that wait.
+        """Sends a frame, or queues it behind the frames that wait.
 
         Args:
             message: The frame.
-            tag: Passed to `on_written` once bytes of it may have left.
+            tag: Passed to `on_written` once bytes of the frame may have been
+                sent.
         """
         if self.closed or self.said_all:
             return
@@ -155,7 +159,7 @@
             self.abort()
 
     def withdraw(self, tag: int) -> bool:
-        """Takes back a frame that waits; False where it may have left."""
+        """Removes a queued frame; returns False if it may have been sent."""
         for item in self.queue:
             if item[1] == tag:
                 self.queue.remove(item)
@@ -173,8 +177,8 @@
     async def acquire_turn(self) -> bool:
         """Waits until a part of a body may be sent.
 
-        Bodies take turns in the order in which they asked; frames that wait go
-        first, so that a look-up never waits for more than a part.
+        Bodies take turns in the order of their calls. Queued frames are sent
+        first, so that a look-up never waits for more than one part of a body.
 
         Returns:
             Whether the stream is still open.
@@ -190,7 +194,7 @@
         return not self.closed
 
     def release_turn(self) -> None:
-        """Passes the turn on; called after a part was sent."""
+        """Gives the next body its turn; called after a part was sent."""
         while self.turns and not self.paused and not self.queue:
             turn = self.turns.popleft()
             if not turn.done():
@@ -198,23 +202,24 @@
                 return
 
     def data_received(self, data: bytes) -> None:
-        """Decodes what came in."""
+        """Decodes received bytes into frames."""
         self.bytes_received += len(data)
         try:
             self._unpack(data)
         except SchemaError as error:
             self.error = error
         except msgpack.exceptions.BufferFull:
-            self.error = _malformed("a frame is too large")
+            self.error = _malformed("frame exceeds the maximum size")
         except (ValueError, msgpack.exceptions.UnpackException) as error:
             self.error = _malformed(f"not msgpack: {error}")
         if len(self.frames) > _MAX_READ_AHEAD or self.error is not None:
             self._pause_reading()
-        self._wake_reader()
+        self._resume_reader()
 
     def _unpack(self, data: bytes) -> None:
-        # An unpacker takes 45 KB, and in a large mesh a node has hundreds of
-        # streams; so it is kept only while a frame is not whole.
+        # An unpacker takes 45 KB, and a node of a large mesh has hundreds of
+        # streams, so the stream keeps the unpacker only while a received frame
+        # is incomplete.
         if self.unpacker is None:
             self.unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME_BYTES)
             self.fed_bytes = 0
@@ -242,7 +247,7 @@
             self.read_paused = True
             self.transport.pause_reading()
 
-    def _wake_reader(self) -> None:
+    def _resume_reader(self) -> None:
         if self.reader is not None and not self.reader.done():
             self.reader.set_result(None)
 
@@ -250,8 +255,8 @@
         """Returns the next frame, None at the end of the stream.
 
         Raises:
-            SchemaError: If the peer sends what is not a frame; the stream
-                cannot be used any further.
+            SchemaError: If the peer sends bytes that are not a frame; the
+                stream cannot be used any further.
         """
         while not self.frames:
             if self.error is not None:
@@ -274,7 +279,7 @@
             self.transport.abort()
 
     async def close(self) -> None:
-        """Closes the connection after the frames that wait were sent."""
+        """Closes the connection after the queued frames were sent."""
         if self.transport is None:
             return
         try:
@@ -282,11 +287,11 @@
                 while self.queue and await self.acquire_turn():
                     continue
                 if not self.closed:
-                    # The peer closes when it has read all of this. Closing
-                    # first could reset the connection, and the last answers
-                    # would be lost on the way.
-                    # The peer's frames still come meanwhile, and what
-                    # answers them must not break the stream.
+                    # The peer closes its end after it has read all frames. If
+                    # this node closed the socket first, the kernel could reset
+                    # the connection, and the last replies would be lost.
+                    # Frames of the peer still arrive meanwhile; a reply to
+                    # them must not be written after the end of the stream.
                     self.said_all = True
                     self.transport.write_eof()
                 await self.lost.wait()
--- a/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
@@ -1,4 +1,4 @@
-"""Requests under way on one stream that this node opened to a peer."""
+"""Requests in flight on one stream that this node opened to a peer."""
 
 import asyncio
 import functools
@@ -40,32 +40,34 @@
 
 _logger = logging.getLogger(__name__)
 _MS_PER_S = 1000
-# Frames that wait on a stream whose peer does not read. New requests are
-# refused from here on, long before the stream is given up: a caller that is
-# told at once can go elsewhere.
-_REFUSE_QUEUED_BYTES = 1024 * 1024
-# The owner is given a little less time than the caller has, so that its own
-# answer, which knows whether the request ran, arrives before the deadline.
+# Queued bytes of a stream from which new requests are rejected, because the
+# peer does not read. The limit is far below the queue size at which the stream
+# is closed, so that a request is rejected early and can run on another target.
+_MAX_QUEUED_BYTES = 1024 * 1024
+# Time subtracted from the owner's deadline, at most a tenth of the remaining
+# time. The owner's error says whether the request ran, so that error should
+# arrive before the deadline of the caller.
 _RETURN_ALLOWANCE_MS = 5
-_ALLOWANCE_PART = 10
+_ALLOWANCE_DIVISOR = 10
 
 
-# Tells whether a request takes the slot that an owner offers.
+# Decides whether a request accepts the slot that an owner offers.
 SlotAcceptor = Callable[[], bool]
 
 
 @attrs.define(eq=False)
 class Call:
-    """One request and everyone who waits for a part of it.
+    """One request in flight, with its timer, upload and download.
 
     Attributes:
-        reply: The reply, once its head is there.
-        timer: Ends the call at its deadline.
-        download: The rest of its answer, where that comes in parts.
-        credit: What the peer granted for the rest of its body.
-        upload: Sends the rest of its body.
+        reply: The reply, once its head has arrived.
+        timer: Ends the call at the request's deadline.
+        download: The rest of the response body, if the body is streamed.
+        credit: Credit that the peer granted for the rest of the request body.
+        upload: Task that sends the rest of the request body.
         request: The request.
-        on_slot: Tells whether the request takes a slot that its owner offers.
+        on_slot: Decides whether the request accepts a slot that the owner
+            offers.
     """
 
     reply: asyncio.Future[ForwardReply]
@@ -77,14 +79,14 @@
     upload: asyncio.Task[None] | None = None
 
     def end(self) -> None:
-        """Stops what still runs for the call."""
+        """Cancels the timer and the upload of the call."""
         if self.timer is not None:
             self.timer.cancel()
         if self.upload is not None:
             self.upload.cancel()
 
     def fail(self, kind: ErrorKind) -> None:
-        """Ends the call with an error, at its head or in the middle."""
+        """Ends the call with an error, before the reply or within its body."""
         self.end()
         if self.download is not None:
             self.download.fail(kind)
@@ -95,14 +97,17 @@
 
 @attrs.define(eq=False)
 class OutgoingStream:
-    """Sends requests on an open stream and gives out what comes back.
+    """Sends requests on an open stream and matches replies to the requests.
 
     Attributes:
         peer: The peer's address, for the log.
         stream: The stream.
-        on_frame: Takes frames that belong to no request.
-        table: Decides which frames belong to whom.
-        calls: Requests under way, by id.
+        on_frame: Handles frames that belong to no request.
+        table: Tracks the state of each request and decides whether a frame is
+            delivered.
+        calls: Requests in flight, by id.
+        closing: Whether the stream accepts no new request, because it is lost
+            or because the peer is stopping.
     """
 
     peer: str
@@ -123,20 +128,21 @@
         """Sends a request and waits for its reply.
 
         Args:
-            request: The request; its id is set here.
-            on_slot: Tells whether a request that binds late takes a slot.
+            request: The request; the stream assigns its id.
+            on_slot: Decides whether a late-bound request accepts an offered
+                slot.
 
         Returns:
             The reply, or the error that ended the request.
         """
-        if self.stream.queued_bytes > _REFUSE_QUEUED_BYTES:
+        if self.stream.queued_bytes > _MAX_QUEUED_BYTES:
             return _error(request, ErrorKind.OVERLOADED)
         if request.remaining_ms <= 0:
             return _error(request, ErrorKind.DEADLINE_NOT_RUN)
         loop = self.stream.loop
         request_id = self.table.open()
         allowance_ms = min(
-            _RETURN_ALLOWANCE_MS, request.remaining_ms // _ALLOWANCE_PART
+            _RETURN_ALLOWANCE_MS, request.remaining_ms // _ALLOWANCE_DIVISOR
         )
         frame = attrs.evolve(
             request,
@@ -146,7 +152,7 @@
         call = Call(loop.create_future(), frame, on_slot)
         self.calls[request_id] = call
         call.timer = loop.call_later(
-            request.remaining_ms / _MS_PER_S, self._expire, request_id
+            request.remaining_ms / _MS_PER_S, self._on_deadline, request_id
         )
         self.stream.send(frame, request_id)
         try:
@@ -156,26 +162,27 @@
             raise
 
     def give_up(self, request_id: int) -> None:
-        """Ends a request whose caller has gone."""
-        self._abandon(request_id, ErrorKind.CANCELLED)
+        """Cancels a request whose caller no longer waits."""
+        self._cancel(request_id, ErrorKind.CANCELLED)
 
-    def _expire(self, request_id: int) -> None:
-        self._abandon(request_id, None)
+    def _on_deadline(self, request_id: int) -> None:
+        self._cancel(request_id, None)
 
-    def _abandon(self, request_id: int, kind: ErrorKind | None) -> None:
+    def _cancel(self, request_id: int, kind: ErrorKind | None) -> None:
         call = self.calls.pop(request_id, None)
         state = self.table.cancel(request_id)
         if call is None or state is None:
             return
         if state is ExchangeState.QUEUED:
-            # It must not leave after the caller was told that it did not run.
+            # The caller is told that the request did not run, so its frame must
+            # not be sent afterwards.
             self.stream.withdraw(request_id)
         else:
             self.stream.send(CancelRequest(request_id=request_id))
         call.fail(kind or deadline_error_kind(state))
 
     async def run(self) -> None:
-        """Gives out frames until the stream ends."""
+        """Handles received frames until the stream ends."""
         try:
             while (frame := await self.stream.receive()) is not None:
                 handle_reply_frame(frame, self)
@@ -189,21 +196,21 @@
             self.stream.abort()
 
     def on_stream_lost(self) -> None:
-        """Ends every request because the stream broke."""
+        """Fails every request in flight because the stream was lost."""
         self.closing = True
         calls, self.calls = self.calls, {}
         for request_id, kind in self.table.on_stream_lost():
             calls[request_id].fail(kind)
 
     def settle(self, reply: ForwardReply) -> None:
-        """Takes the reply of a request."""
+        """Handles the reply of a request."""
         request_id = reply.request_id
-        verdict = self.table.on_reply(request_id, reply.more)
-        if not self._is_wanted(verdict):
+        decision = self.table.on_reply(request_id, reply.more)
+        if not self._should_deliver(decision):
             return
         call = self.calls[request_id]
         if reply.more:
-            call.download = self._download(request_id)
+            call.download = self._new_download_buffer(request_id)
             reply = _streamed(reply, call.download)
         else:
             del self.calls[request_id]
@@ -211,21 +218,21 @@
         if not call.reply.done():
             call.reply.set_result(reply)
 
-    def _download(self, request_id: int) -> BodyBuffer:
-        def grant(size: int) -> None:
+    def _new_download_buffer(self, request_id: int) -> BodyBuffer:
+        def send_credit(size: int) -> None:
             if self.table.grant_credit(request_id, size):
                 self.stream.send(BodyCredit(request_id=request_id, bytes=size))
 
-        grants = ReceiveWindow(grant, WINDOW_BYTES)
-        return BodyBuffer(grants.on_read, lambda: self.give_up(request_id))
+        window = ReceiveWindow(send_credit, WINDOW_BYTES)
+        return BodyBuffer(window.on_read, lambda: self.give_up(request_id))
 
     def chunk(self, frame: BodyChunk) -> None:
-        """Takes a part of an answer."""
+        """Handles a part of a response body."""
         request_id = frame.request_id
-        verdict = self.table.on_chunk(
+        decision = self.table.on_chunk(
             request_id, len(frame.data), frame.more, frame.aborted
         )
-        if not self._is_wanted(verdict):
+        if not self._should_deliver(decision):
             return
         call = self.calls[request_id]
         assert call.download is not None
@@ -240,13 +247,13 @@
             call.download.end()
 
     def credit(self, frame: BodyCredit) -> None:
-        """Takes the peer's leave to send more of a request's body."""
-        if not self._is_wanted(self.table.on_credit(frame.request_id)):
+        """Handles the peer's credit for more of a request's body."""
+        if not self._should_deliver(self.table.on_credit(frame.request_id)):
             return
         call = self.calls[frame.request_id]
         rest = rest_of(call.request)
         if rest is None or frame.bytes <= 0:
-            raise _violation()
+            raise _unexpected_frame()
         call.credit.add(frame.bytes)
         if call.upload is None:
             call.upload = asyncio.create_task(
@@ -254,8 +261,8 @@
             )
 
     def slot_offered(self, request_id: int) -> None:
-        """Takes the owner's offer of a slot, or gives the request up there."""
-        if not self._is_wanted(self.table.on_slot_offer(request_id)):
+        """Accepts a slot that the owner offers, or cancels the request."""
+        if not self._should_deliver(self.table.on_slot_offer(request_id)):
             return
         on_slot = self.calls[request_id].on_slot
         if on_slot is not None and on_slot():
@@ -264,20 +271,22 @@
             self.give_up(request_id)
 
     def refuse_after(self, last_id: int) -> None:
-        """Ends the requests that a stopping peer did not take."""
+        """Fails the requests that a stopping peer did not accept."""
         self.closing = True
         for request_id in self.table.on_stream_closing(last_id):
             self.calls.pop(request_id).fail(ErrorKind.DRAINING)
 
-    def _is_wanted(self, verdict: FrameDecision) -> bool:
-        if verdict is FrameDecision.VIOLATION:
-            raise _violation()
-        return verdict is FrameDecision.DELIVER
+    def _should_deliver(self, decision: FrameDecision) -> bool:
+        if decision is FrameDecision.VIOLATION:
+            raise _unexpected_frame()
+        return decision is FrameDecision.DELIVER
 
 
-def _violation() -> SchemaError:
+def _unexpected_frame() -> SchemaError:
     return SchemaError(
-        SchemaErrorKind.MALFORMED, "", "a frame that is not allowed now"
+        SchemaErrorKind.MALFORMED,
+        "",
+        "frame is not allowed in the state of its request",
     )
 
 
@@ -301,7 +310,7 @@
 
 @functools.singledispatch
 def handle_reply_frame(frame: WireMessage, stream: OutgoingStream) -> None:
-    """Handles one frame of the peer; by default it is of no request."""
+    """Handles one frame; frames that belong to no request go to `on_frame`."""
     stream.on_frame(frame, stream.stream)
 
 
