--- a/packages/pomelobank-node/src/pomelobank_node/_bodies.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that travel in parts because they are too large for one frame."""
+"""Bodies that are sent in parts because they are too large for one frame."""
 
 import asyncio
 from collections import deque
@@ -14,21 +14,23 @@
     RequestError,
 )
 
-# A body up to this size travels whole in one frame. Stock look-ups and
-# reorders are a few hundred bytes; at 64 KiB one frame still takes well under
-# a millisecond of a stream, so nothing behind it waits long.
+# Largest body that is sent whole in one frame. Stock look-ups and reorders have
+# a few hundred bytes. A frame of 64 KiB still occupies a stream for well under
+# a millisecond, so the next frame does not wait long.
 MAX_INLINE_BODY_BYTES = 64 * 1024
-# Size of a part of a larger body: what a look-up may have to wait for when it
-# meets an archive on the same stream.
+# Size of one part of a larger body. A look-up that shares the stream with an
+# archive waits for at most one part.
 CHUNK_BYTES = 32 * 1024
-# Bytes of one body that may be on their way unread. Eight chunks keep a
-# stream busy over a few ms between data centres, and a thousand slow readers
-# cost 256 MiB at most on the node that serves them.
+# Receive window: bytes of one body that may be sent and not yet read. Eight
+# chunks keep a stream busy over the few milliseconds between data centres, and
+# 1,000 slow readers occupy at most 256 MiB of memory on the node that serves
+# them.
 WINDOW_BYTES = 256 * 1024
 
-# Bodies of requests with an idempotency key, and of their answers, travel
-# whole: the claim covers a digest of the whole request, and the answer is
-# kept for a resend. Reorders and acknowledgements are far smaller.
+# Largest body of a request with an idempotency key, and of its response. Both
+# are kept whole, because the claim covers a digest of the whole request and the
+# response is stored for a resend. Reorders and acknowledgements are much
+# smaller.
 MAX_KEYED_BODY_BYTES = 4 * 1024 * 1024
 
 
@@ -36,7 +38,7 @@
     """The rest of a body, read part by part.
 
     Attributes:
-        started: Whether a part of it was read.
+        started: Whether a part of the rest was read.
     """
 
     started: bool
@@ -45,20 +47,21 @@
         """Returns the next part, empty at the end.
 
         Raises:
-            RequestError: If the body broke off; it is not whole.
+            RequestError: If the body ended early and is incomplete.
         """
 
     def close(self) -> None:
-        """Gives the rest up; called once, at the end or before it."""
+        """Discards the unread parts; called once, at the end or before."""
 
 
 @attrs.frozen(kw_only=True, eq=False)
 class StreamedRequest(ForwardRequest):
-    """A request of which `body` is only the first part.
+    """A request whose `body` is only the first part of the whole body.
 
     Attributes:
-        rest: The rest, untouched until bytes are sent to the target, so that
-            a request that did not run can still be sent elsewhere.
+        rest: The rest of the body. The node reads the rest only when it sends
+            bytes to the target, so that a request that did not run can still
+            be sent to another target.
     """
 
     rest: BodySource
@@ -66,10 +69,10 @@
 
 @attrs.frozen(kw_only=True, eq=False)
 class StreamedReply(ForwardReply):
-    """An answer of which `body` is only the first part.
+    """A reply whose `body` is only the first part of the whole body.
 
     Attributes:
-        rest: The rest.
+        rest: The rest of the body.
     """
 
     rest: BodySource
@@ -78,7 +81,7 @@
 def with_rest(
     request: ForwardRequest, rest: BodySource | None
 ) -> ForwardRequest:
-    """Returns the request with the rest of its body, itself without one."""
+    """Returns the request with the rest of its body attached, if any."""
     if rest is None:
         return request
     fields = attrs.asdict(request, recurse=False)
@@ -86,7 +89,7 @@
 
 
 def rest_of(message: ForwardRequest | ForwardReply) -> BodySource | None:
-    """Returns the rest of a message's body, None where it is whole."""
+    """Returns the rest of a message's body, None if `body` is the whole."""
     if isinstance(message, StreamedRequest | StreamedReply):
         return message.rest
     return None
@@ -94,31 +97,32 @@
 
 @attrs.define(eq=False)
 class DeferredBody:
-    """A body that is in memory and is sent once its receiver asks for it.
+    """A body in memory that is sent only when its receiver grants credit.
 
     Attributes:
         data: The body.
-        started: Whether it was read.
+        started: Whether the body was read.
     """
 
     data: bytes
     started: bool = False
 
     async def read(self) -> bytes:
-        """Returns the body, empty after that."""
+        """Returns the body on the first call, empty bytes afterwards."""
         data = b"" if self.started else self.data
         self.started = True
         return data
 
     def close(self) -> None:
-        """Does nothing; the body stays in memory for another try."""
+        """Does nothing; the body stays in memory for another attempt."""
 
 
 def can_resend(request: ForwardRequest) -> bool:
-    """Tells whether the whole body is still there for another try.
+    """Tells whether the whole body is still available for another attempt.
 
-    A body that streams through is not kept. Sent again after a part of it was
-    read, it would reach the next target with that part missing.
+    The node does not store a streamed body. If such a request were sent again
+    after a part of its body was read, the next target would receive a body
+    without that part.
     """
     rest = rest_of(request)
     return rest is None or not rest.started
@@ -126,16 +130,18 @@
 
 @attrs.define(eq=False)
 class BodyBuffer:
-    """Parts of a body between the one who brings and the one who reads them.
+    """Parts of a body between their producer and their reader.
 
     Attributes:
         on_read: Called with the number of bytes that were read.
-        on_close: Called once, when the reader is done or gives up.
-        parts: Parts that were not read yet.
-        size: Their bytes.
-        ended: Set once the last part was put in.
-        error: Why the body broke off, None while it is sound.
-        started: Whether a reader has asked for it.
+        on_close: Called once, when the reader closes the body.
+        parts: Parts that have not been read yet.
+        size: Number of bytes in `parts`.
+        ended: Whether the last part was added.
+        error: Why the body ended early; None if no error occurred.
+        closed: Whether the reader has closed the body.
+        started: Whether a reader has read from the body.
+        waiter: Future of a reader that waits for a part.
     """
 
     on_read: Callable[[int], None]
@@ -156,12 +162,12 @@
         self._wake()
 
     def end(self) -> None:
-        """Marks the body as whole."""
+        """Marks the body as complete."""
         self.ended = True
         self._wake()
 
     def fail(self, kind: ErrorKind) -> None:
-        """Marks the body as broken off, unless it is whole already."""
+        """Marks the body as ended early unless the body is complete."""
         if not self.ended and self.error is None:
             self.error = kind
         self._wake()
@@ -174,11 +180,12 @@
         """Returns the next part, empty at the end.
 
         Raises:
-            RequestError: If the body broke off.
+            RequestError: If the body ended early.
         """
         self.started = True
         if not self.parts and not self.ended and self.error is None:
-            # Reading nothing still tells the sender that a reader is here.
+            # The call with 0 bytes lets the receive window grant the first
+            # credit, because a reader is now waiting.
             self.on_read(0)
         while not self.parts:
             if self.error is not None:
@@ -202,11 +209,13 @@
 
 @attrs.define(eq=False)
 class EndedBody:
-    """Passes a body through and tells when nobody reads it any more.
+    """Wraps a body and calls back when its reader closes the body.
 
     Attributes:
         source: The body.
-        on_end: Called once.
+        on_end: Called once, when the body is closed.
+        closed: Whether the body has been closed.
+        started: Whether a reader has read from the body.
     """
 
     source: BodySource
@@ -231,11 +240,11 @@
 def with_end_callback(
     reply: ForwardReply, on_end: Callable[[], None]
 ) -> ForwardReply:
-    """Calls back once a reply's whole body has been read or given up.
+    """Calls back once a reply's whole body has been read or discarded.
 
-    A target is still at work while its answer is on the way. Were its slot
-    given away at the head of the answer, it would be overrun by long answers,
-    and a planned stop would cut them off.
+    A target still works on a request while its response is sent. If the slot
+    were released at the head of the response, long responses would overload
+    the target, and a planned stop would truncate them.
 
     Returns:
         The reply to pass on instead.
@@ -247,10 +256,10 @@
 
 
 async def read_full_request(request: ForwardRequest) -> ForwardRequest:
-    """Waits for the body of a request that was held back.
+    """Returns the request with its whole deferred body.
 
     Raises:
-        RequestError: Why the body broke off.
+        RequestError: If the body ended early.
     """
     rest = rest_of(request)
     if rest is None:
@@ -266,18 +275,18 @@
     return ForwardRequest(**{**fields, "body": b"".join(parts), "more": False})
 
 
-async def read_full_reply(reply: ForwardReply, most_bytes: int) -> ForwardReply:
-    """Waits for the whole body of a reply.
+async def read_full_reply(reply: ForwardReply, max_bytes: int) -> ForwardReply:
+    """Returns the reply with its whole body.
 
     Args:
         reply: The reply.
-        most_bytes: Largest body that is waited for.
+        max_bytes: Size of the largest body that is accepted.
 
     Returns:
         A reply without a rest.
 
     Raises:
-        RequestError: ANSWER_TOO_LARGE, or why the body broke off.
+        RequestError: ANSWER_TOO_LARGE, or the error that ended the body early.
     """
     rest = rest_of(reply)
     if rest is None:
@@ -288,7 +297,7 @@
         while part := await rest.read():
             parts.append(part)
             size += len(part)
-            if size > most_bytes:
+            if size > max_bytes:
                 raise RequestError(ErrorKind.ANSWER_TOO_LARGE)
     finally:
         rest.close()
--- a/packages/pomelobank-node/src/pomelobank_node/_target_call.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_call.py
@@ -1,4 +1,4 @@
-"""Sends a forwarded request to the target and turns its answer into a reply."""
+"""Sends a request to the target and converts the response into a reply."""
 
 import asyncio
 
@@ -26,11 +26,12 @@
 from pomelobank_schema.generated.peer import Header
 
 _MS_PER_S = 1000
-# Longest time for which a connection was idle that carries a request which may
-# run once only. A target may forget idle connections sooner than it says, and
-# what is sent then is reset: nobody knows whether it ran, and it cannot be sent
-# again. At ten requests a second half of the connections are younger; a new
-# one costs a millisecond.
+# Longest idle time of a connection that is reused for a request that must not
+# run twice. A target may drop idle connections earlier than it announces. The
+# request on such a connection is reset, and it cannot be sent again because
+# the node does not know whether the request ran. At ten requests a second, half
+# of the connections have been idle for less time; opening a new connection
+# takes a millisecond.
 RUNS_ONCE_IDLE_S = 0.3
 _HEAD = "HEAD"
 _MISDIRECTED = 421
@@ -41,7 +42,7 @@
     pool: UpstreamPool,
     request: ForwardRequest,
     outstanding: int,
-    dialect: HttpConventions,
+    conventions: HttpConventions,
     instance: str = "",
 ) -> ForwardReply:
     """Runs a request on the target.
@@ -49,101 +50,114 @@
     Args:
         pool: Connections to the target.
         request: The request; its remaining time counts from now.
-        outstanding: Requests at the target, for the reply.
-        dialect: Names of the headers.
-        instance: The start of the target that may run the request.
+        outstanding: Number of requests at the target, for the reply.
+        conventions: Names of the headers.
+        instance: Name of the only instance that may run the request.
 
     Returns:
-        The target's answer.
+        The target's response.
 
     Raises:
-        RequestError: If there is none, or the target says that it has not run
-            the request.
+        RequestError: If the target sent no usable response, or reported that it
+            has not run the request.
     """
     deadline_s = asyncio.get_running_loop().time()
     deadline_s += request.remaining_ms / _MS_PER_S
-    headers = _request_headers(request, dialect, instance)
+    headers = _request_headers(request, conventions, instance)
     rest = rest_of(request)
-    more = rest is not None
-    expected = None
-    if dialect.echoes_request_id:
-        expected = ExpectedId(dialect.request_id, request.trace_id.encode())
-    answer = await pool.request(
+    has_rest = rest is not None
+    expected_id = None
+    if conventions.echoes_request_id:
+        expected_id = ExpectedId(
+            conventions.request_id, request.trace_id.encode()
+        )
+    response = await pool.request(
         encode_request(
-            request.method, request.target, headers, request.body, more
+            request.method, request.target, headers, request.body, has_rest
         ),
         deadline_s,
         rest,
-        chunked=more and content_length(headers) is None,
-        expected_id=expected,
+        chunked=has_rest and content_length(headers) is None,
+        expected_id=expected_id,
         max_idle_s=(MAX_IDLE_S if request.idempotent else RUNS_ONCE_IDLE_S),
     )
-    _check(answer, dialect)
-    return _reply(request, answer, outstanding)
+    _raise_if_unusable(response, conventions)
+    return _reply(request, response, outstanding)
 
 
 def _request_headers(
-    request: ForwardRequest, dialect: HttpConventions, instance: str
+    request: ForwardRequest, conventions: HttpConventions, instance: str
 ) -> list[tuple[bytes, bytes]]:
     headers = [(item.name, item.value) for item in request.headers]
-    headers.append((dialect.request_id, request.trace_id.encode()))
-    headers.append((dialect.timeout, b"%d" % request.remaining_ms))
-    if dialect.expected_instance and instance:
-        headers.append((dialect.expected_instance, instance.encode()))
+    headers.append((conventions.request_id, request.trace_id.encode()))
+    headers.append((conventions.timeout, b"%d" % request.remaining_ms))
+    if conventions.expected_instance and instance:
+        headers.append((conventions.expected_instance, instance.encode()))
     return headers
 
 
-def _check(answer: UpstreamResponse, dialect: HttpConventions) -> None:
+def _raise_if_unusable(
+    response: UpstreamResponse, conventions: HttpConventions
+) -> None:
     kind = None
-    if dialect.expected_instance and answer.status == _MISDIRECTED:
+    if conventions.expected_instance and response.status == _MISDIRECTED:
         kind = ErrorKind.TARGET_REPLACED
-    elif dialect.not_run and find_header(answer.headers, dialect.not_run):
+    elif conventions.not_run and find_header(
+        response.headers, conventions.not_run
+    ):
         kind = ErrorKind.TARGET_REFUSED
-    elif dialect.response_marker and answer.status in _SUCCESSES:
-        # Something else than the target's work wrote this; a caller must not
-        # take it for the answer.
-        proven = (
-            find_header(answer.headers, dialect.response_marker) is not None
+    elif conventions.response_marker and response.status in _SUCCESSES:
+        # A success response without the target's marker or request id was
+        # written by other software, such as a proxy. The caller must not receive
+        # that response as the result of the request.
+        has_marker = (
+            find_header(response.headers, conventions.response_marker)
+            is not None
+        )
+        has_id = not conventions.echoes_request_id or _has_request_id(
+            response, conventions
         )
-        named = not dialect.echoes_request_id or _has_id(answer, dialect)
-        if not (proven and named):
+        if not (has_marker and has_id):
             kind = ErrorKind.ANSWER_TRUNCATED
     if kind is not None:
-        if answer.rest is not None:
-            answer.rest.close()
+        if response.rest is not None:
+            response.rest.close()
         raise RequestError(kind)
 
 
-def _has_id(answer: UpstreamResponse, dialect: HttpConventions) -> bool:
-    return find_header(answer.headers, dialect.request_id) is not None
+def _has_request_id(
+    response: UpstreamResponse, conventions: HttpConventions
+) -> bool:
+    return find_header(response.headers, conventions.request_id) is not None
 
 
 def _reply(
-    request: ForwardRequest, answer: UpstreamResponse, outstanding: int
+    request: ForwardRequest, response: UpstreamResponse, outstanding: int
 ) -> ForwardReply:
-    headers = end_to_end(answer.headers)
-    if answer.rest is not None or request.method == _HEAD:
-        # The length of a body that follows in parts, or that HEAD leaves out.
-        length = find_header(answer.headers, CONTENT_LENGTH)
+    headers = end_to_end(response.headers)
+    if response.rest is not None or request.method == _HEAD:
+        # The length of a body that is sent in parts, or that a HEAD response
+        # does not contain.
+        length = find_header(response.headers, CONTENT_LENGTH)
         if length is not None:
             headers.append((CONTENT_LENGTH, length))
     wire_headers = tuple(
         Header(name=name, value=value) for name, value in headers
     )
-    if answer.rest is None:
+    if response.rest is None:
         return ForwardReply(
             request_id=request.request_id,
-            status=answer.status,
+            status=response.status,
             headers=wire_headers,
-            body=answer.body,
+            body=response.body,
             outstanding=outstanding,
         )
     return StreamedReply(
         request_id=request.request_id,
-        status=answer.status,
+        status=response.status,
         headers=wire_headers,
-        body=answer.body,
+        body=response.body,
         more=True,
         outstanding=outstanding,
-        rest=answer.rest,
+        rest=response.rest,
     )
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
@@ -1,8 +1,9 @@
-"""Pooled HTTP/1.1 client towards the node's own target.
+"""Pooled HTTP/1.1 client for requests to the node's own target.
 
-The house style asks for aiohttp as client. Towards the target it costs about
-twice the latency that the users allow for a whole call, and it resends some
-requests by itself, which could run one twice; see docs/design/request-path.md.
+The house style prescribes aiohttp as client. For requests to the target,
+aiohttp costs about twice the latency that the users allow for a whole call. It
+also resends some requests by itself, so a request could run twice; see
+docs/design/request-path.md.
 """
 
 import asyncio
@@ -24,8 +25,9 @@
 )
 
 _CONNECT_TIMEOUT_S = 1.0
-# Servers commonly close connections after 5 s without a request. Staying well
-# below keeps a request from meeting a connection that is about to be closed.
+# Longest idle time of a pooled connection. Servers commonly close a connection
+# after 5 s without a request; the shorter limit keeps a request off a
+# connection that the target is about to close.
 MAX_IDLE_S = 2.0
 
 
@@ -34,19 +36,19 @@
     """Connections to one target.
 
     Attributes:
-        host: The target's IP number.
+        host: The target's IP address.
         port: The target's port.
-        max_body_bytes: Largest answer that is taken, in bytes.
-        allows_close_delimited: Whether the end of the connection may be the end
-            of an answer that states no length. It cannot be told from a target
-            that stopped in the middle, so it is only for targets known to do
-            so.
-        idle: Connections without a request, the one used last at the end.
-        closed: Set once connections are not kept any more.
-        known_loop: The event loop, once a request has come; to ask for it
-            costs a system call.
-        stale_connections: Pooled connections that were found unusable.
-        connects: Connections that were opened.
+        max_body_bytes: Size of the largest response body that is accepted.
+        allows_close_delimited: Whether the end of the connection may end a
+            response that states no length. A target that crashed in the middle
+            of such a response looks the same, so the setting is only for
+            targets that are known to send close-delimited responses.
+        idle: Connections without a request, the most recently used at the end.
+        closed: Whether released connections are closed instead of kept.
+        known_loop: The event loop, once a request has arrived; looking up the
+            running loop costs a system call.
+        stale_connections: Number of pooled connections that were unusable.
+        connects: Number of connections that were opened.
     """
 
     host: str
@@ -75,27 +77,26 @@
         expected_id: ExpectedId | None = None,
         max_idle_s: float = MAX_IDLE_S,
     ) -> UpstreamResponse:
-        """Sends one request and waits for its answer.
+        """Sends one request and waits for its response.
 
         Args:
             data: The request's bytes: head, and body or its first part.
-            deadline_s: Loop time at which the request is given up; it holds
-                for the whole answer.
+            deadline_s: Loop time at which the request fails; the deadline
+                includes the whole response body.
             rest: The rest of the body.
-            chunked: Whether the rest is sent in HTTP's chunks.
-            expected_id: Id that the answer must bear where it bears one.
-            max_idle_s: Longest time for which a connection that is used
-                again was idle.
+            chunked: Whether the rest is sent with chunked transfer encoding.
+            expected_id: Id that the response must have if it has an id.
+            max_idle_s: Longest idle time of a connection that is reused.
 
         Returns:
-            The answer, once its head and first part are there.
+            The response, once its head and first part have arrived.
 
         Raises:
             RequestError: UPSTREAM_UNREACHABLE or DEADLINE_NOT_RUN before any
                 byte was sent; any other kind after.
         """
-        connection = await self._take(deadline_s, max_idle_s)
-        # A process that was paused finds its deadline passed only now.
+        connection = await self._acquire(deadline_s, max_idle_s)
+        # If this process was paused meanwhile, the deadline may have passed.
         if deadline_s is not None and self.loop.time() >= deadline_s:
             self.release(connection)
             raise RequestError(ErrorKind.DEADLINE_NOT_RUN)
@@ -105,41 +106,44 @@
         try:
             return await future
         except asyncio.CancelledError:
-            # The target sees the closed connection as the cancellation.
+            # The closed connection tells the target about the cancellation.
             connection.close()
             raise
 
-    async def _take(
-        self, deadline_s: float | None, longest_idle_s: float
+    async def _acquire(
+        self, deadline_s: float | None, max_idle_s: float
     ) -> UpstreamConnection:
         now_s = self.loop.time()
-        # The one used last is at the end; where it was idle for too long, so
-        # were all others, which may still serve less careful requests.
-        while self.idle and now_s - self.idle[-1].idle_since_s < longest_idle_s:
+        # The most recently used connection is at the end. If its idle time is
+        # too long, the idle time of every other connection is too. They stay in
+        # the pool for requests that allow a longer idle time.
+        while self.idle and now_s - self.idle[-1].idle_since_s < max_idle_s:
             connection = self.idle.pop()
             if connection.is_usable():
                 return connection
             self.stale_connections += 1
             connection.close()
-        self._close_stale(now_s)
+        self._close_expired(now_s)
         return await self._connect(deadline_s)
 
-    def _close_stale(self, now_s: float) -> None:
+    def _close_expired(self, now_s: float) -> None:
         while self.idle and now_s - self.idle[0].idle_since_s > MAX_IDLE_S:
             self.stale_connections += 1
             self.idle.popleft().close()
 
     async def _connect(self, deadline_s: float | None) -> UpstreamConnection:
-        limit_s = self.loop.time() + _CONNECT_TIMEOUT_S
+        connect_deadline_s = self.loop.time() + _CONNECT_TIMEOUT_S
         self.connects += 1
         try:
-            async with asyncio.timeout_at(min(limit_s, deadline_s or limit_s)):
+            async with asyncio.timeout_at(
+                min(connect_deadline_s, deadline_s or connect_deadline_s)
+            ):
                 _, connection = await self.loop.create_connection(
                     lambda: UpstreamConnection(self), self.host, self.port
                 )
         except TimeoutError:
             kind = ErrorKind.UPSTREAM_UNREACHABLE
-            if deadline_s is not None and deadline_s < limit_s:
+            if deadline_s is not None and deadline_s < connect_deadline_s:
                 kind = ErrorKind.DEADLINE_NOT_RUN
             raise RequestError(kind) from None
         except OSError:
@@ -147,7 +151,7 @@
         return connection
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Takes a connection whose request has ended."""
+        """Returns a connection whose request has ended to the pool."""
         if self.closed:
             connection.close()
         elif connection.open:
@@ -155,7 +159,7 @@
             self.idle.append(connection)
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Drops a connection that was closed."""
+        """Removes a closed connection from the pool."""
         if connection in self.idle:
             self.idle.remove(connection)
 
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to the node's own target."""
+"""A single HTTP/1.1 connection to the node's own target."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class ExpectedId:
-    """The header by which a target repeats the id of a request.
+    """The header in which a target repeats the id of a request.
 
     Attributes:
         header: The header's name, in lower case.
@@ -45,13 +45,13 @@
 
 @attrs.frozen
 class UpstreamResponse:
-    """An answer of the target.
+    """A response of the target.
 
     Attributes:
         status: HTTP status.
         headers: Headers as received.
         body: The whole body, or its first part.
-        rest: The rest of the body, None where it is whole.
+        rest: The rest of the body, None if `body` is the whole body.
     """
 
     status: int
@@ -61,39 +61,44 @@
 
 
 class ConnectionPool(Protocol):
-    """Where a connection returns to after its request.
+    """The pool that a connection is released to after its request.
 
     Attributes:
-        max_body_bytes: Largest answer that is taken.
-        allows_close_delimited: Whether the end of the connection may end an
-            answer.
+        max_body_bytes: Size of the largest response body that is accepted.
+        allows_close_delimited: Whether the end of the connection may end a
+            response.
     """
 
     max_body_bytes: int
     allows_close_delimited: bool
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Takes a connection whose request has ended."""
+        """Returns a connection whose request has ended to the pool."""
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Drops a connection that was closed."""
+        """Removes a closed connection from the pool."""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """Carries one request at a time.
+    """A connection that carries one request at a time.
 
     Attributes:
-        pool: Where it returns to after a request.
-        transport: The connection.
-        open: Whether it can be used.
-        idle_since_s: Loop time since which it has no request.
-        timer: Ends the request under way at its deadline.
-        upload: Sends the rest of the request's body.
-        uploading: Whether that has not come to its end.
-        expected_id: Id that the answer must bear where it bears one.
-        foreign: Whether the answer being read belongs to another request.
-        met_foreign: Whether one was read since the request was sent.
-        until_closed: Whether the answer's body ends with the connection.
+        pool: Pool that the connection is released to after a request.
+        transport: The transport of the connection.
+        open: Whether the connection can be used.
+        idle_since_s: Loop time at which the last request ended.
+        future: Receives the response or the error of the current request.
+        rest: Buffer for the rest of a streamed response body.
+        timer: Fails the current request at its deadline.
+        upload: Task that sends the rest of the request's body.
+        uploading: Whether a part of the request's body is still unsent.
+        head_only: Whether the current request is a HEAD request.
+        expected_id: Id that the response must have if it has an id.
+        foreign: Whether the response being read belongs to another request.
+        met_foreign: Whether a response to another request was read since the
+            current request was sent.
+        until_closed: Whether the end of the connection ends the response body.
+        started: Whether a response to the current request has begun.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
@@ -125,7 +130,7 @@
         self.until_closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport and prepares the socket."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.loop = asyncio.get_running_loop()
@@ -135,12 +140,13 @@
         self.poll.register(sock.fileno(), select.POLLIN)
 
     def is_usable(self) -> bool:
-        """Tells whether a request can be sent without a doubt.
+        """Tells whether a request can be sent safely on the connection.
 
-        A target may close a connection just when it is taken out of the pool.
-        The request would be lost with nobody knowing whether it ran. So the
-        kernel is asked whether the target's end has arrived before the event
-        loop has seen it; the pool leaves those alone that were idle for long.
+        A target may close a connection just before the pool hands it out. A
+        request on that connection would be lost, and the node would not know
+        whether the request ran. The method therefore asks the kernel whether
+        the target's end of stream has arrived before the event loop has read
+        it. The pool does not reuse connections that were idle for long.
         """
         return self.open and not self.poll.poll(0)
 
@@ -154,12 +160,12 @@
 
         Args:
             data: Head and body.
-            deadline_s: Loop time at which it is given up, its answer's body
-                included.
-            expected_id: Id that the answer must bear where it bears one.
+            deadline_s: Loop time at which the request fails; the deadline
+                includes the whole response body.
+            expected_id: Id that the response must have if it has an id.
 
         Returns:
-            The answer, once its head and first part are there.
+            The response, once its head and first part have arrived.
         """
         assert self.transport is not None
         self.expected_id = expected_id
@@ -177,8 +183,8 @@
         """Sends the rest of the request's body.
 
         Args:
-            source: The rest.
-            chunked: Whether it goes in HTTP's chunks.
+            source: The rest of the body.
+            chunked: Whether the rest is sent with chunked transfer encoding.
         """
         self.uploading = True
         self.upload = asyncio.create_task(self._upload(source, chunked))
@@ -195,22 +201,22 @@
                 self.transport.write(LAST_CHUNK)
             self.uploading = False
         except RequestError as error:
-            # Closing the connection is what tells the target that the body
-            # is not whole.
+            # The closed connection tells the target that the body is
+            # incomplete.
             self.fail(error.kind)
         finally:
             source.close()
 
     @property
     def busy(self) -> bool:
-        """Whether a request is under way."""
+        """Whether the connection has a request in flight."""
         return self.future is not None or self.rest is not None
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came in."""
+        """Parses received bytes."""
         if not self.busy:
-            # Bytes that answer no request must never be taken for the answer
-            # to the next one.
+            # Bytes that the target sends without a request must not be
+            # treated as the response to the next request.
             self.close()
             return
         try:
@@ -219,16 +225,16 @@
             self.fail(ErrorKind.ANSWER_TRUNCATED)
 
     def eof_received(self) -> None:
-        """Completes an answer whose body ends with the connection.
+        """Completes a response whose body ends with the connection.
 
-        A connection that is reset on the way never comes here, so what was
-        cut off is not taken for the whole.
+        asyncio does not call this method for a connection that was reset, so a
+        truncated response is not treated as complete.
         """
         if self.busy and self.until_closed and not self.foreign:
             self._complete()
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Ends the request under way."""
+        """Fails the request in flight."""
         self.open = False
         self.write_ready.set()
         self.pool.remove(self)
@@ -239,7 +245,7 @@
         )
 
     def pause_writing(self) -> None:
-        """Stops the upload until the target has read more."""
+        """Pauses the upload until the target has read more bytes."""
         self.write_ready.clear()
 
     def resume_writing(self) -> None:
@@ -247,41 +253,43 @@
         self.write_ready.set()
 
     def on_message_begin(self) -> None:
-        """Notes that an answer has begun."""
+        """Records that a response has begun."""
         self.started = True
         if not self.busy:
-            # More bytes came with the end of an answer; see data_received.
+            # The target sent more bytes after the end of a response; see
+            # data_received.
             self.close()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keeps a header."""
+        """Stores a header."""
         self.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Refuses what is too large; ends an answer without a body."""
+        """Rejects a too large response; completes a response without body."""
         if not self._is_final():
             return
         length = content_length(self.headers)
         self.foreign = self._is_foreign()
         if self.foreign:
             return
-        self.until_closed = length is None and self._has_open_end()
+        self.until_closed = length is None and self._is_close_delimited()
         if self.head_only:
             self._complete()
         elif length is not None and length > self.pool.max_body_bytes:
             self.fail(ErrorKind.ANSWER_TOO_LARGE)
 
     def _is_foreign(self) -> bool:
-        # A target may send a second answer to an earlier request, where the
-        # answer to this one is due. Handed on, it would tell this caller what
-        # belongs to another; the id is what gives it away.
+        # A target may send a second response to an earlier request in place of
+        # the response to this request. If the node passed it on, this caller
+        # would receive the data of another caller. The request id in the
+        # response shows which request the response belongs to.
         expected = self.expected_id
         if expected is None:
             return False
         value = find_header(self.headers, expected.header)
         return value is not None and value != expected.value
 
-    def _has_open_end(self) -> bool:
+    def _is_close_delimited(self) -> bool:
         if not self.pool.allows_close_delimited:
             return False
         if self.parser.get_status_code() in NO_BODY_STATUSES:
@@ -289,39 +297,42 @@
         return find_header(self.headers, b"transfer-encoding") is None
 
     def on_body(self, data: bytes) -> None:
-        """Collects the body, or passes it on once it is large."""
+        """Collects the body, or streams the body once it is large."""
         if not self.busy or self.foreign:
             return
         self.size += len(data)
         if self.size > self.pool.max_body_bytes:
             self.fail(ErrorKind.ANSWER_TOO_LARGE)
         elif self.rest is not None:
-            self._pass_on(self.rest, data)
+            self._buffer_part(self.rest, data)
         else:
             self.chunks.append(data)
             if self.size > MAX_INLINE_BODY_BYTES:
-                self._begin_rest()
+                self._start_streaming()
 
-    def _begin_rest(self) -> None:
-        rest = BodyBuffer(self._was_read, lambda: self._rest_closed(rest))
+    def _start_streaming(self) -> None:
+        rest = BodyBuffer(
+            self._on_part_read, lambda: self._on_rest_closed(rest)
+        )
         self.rest = rest
-        self._answer(rest)
+        self._deliver_response(rest)
 
-    def _pass_on(self, rest: BodyBuffer, data: bytes) -> None:
+    def _buffer_part(self, rest: BodyBuffer, data: bytes) -> None:
         rest.put(data)
         if rest.size > WINDOW_BYTES and self.transport is not None:
-            # The caller reads more slowly than the target writes.
+            # The caller reads more slowly than the target writes, so the node
+            # applies back-pressure to the target.
             self.transport.pause_reading()
 
-    def _was_read(self, _: int) -> None:
+    def _on_part_read(self, _: int) -> None:
         rest, transport = self.rest, self.transport
         if rest is None or transport is None or transport.is_closing():
             return
         if rest.size <= WINDOW_BYTES // 2:
             transport.resume_reading()
 
-    def _rest_closed(self, rest: BodyBuffer) -> None:
-        # The connection may carry another request by now.
+    def _on_rest_closed(self, rest: BodyBuffer) -> None:
+        # The connection may already carry another request.
         if self.rest is rest:
             self.close()
 
@@ -329,7 +340,7 @@
         return bool(self.parser.get_status_code() >= _FIRST_FINAL_STATUS)
 
     def on_message_complete(self) -> None:
-        """Ends the answer."""
+        """Completes the response."""
         if self.foreign or not self._is_final():
             self.met_foreign = self.met_foreign or self.foreign
             self.headers = []
@@ -341,25 +352,28 @@
     def _complete(self) -> None:
         if not self.busy:
             return
-        keep = self.parser.should_keep_alive() and not self.uploading
-        # Where one answer came twice, the next may do so too.
-        keep = keep and not self.until_closed and not self.met_foreign
-        self._end_helpers()
+        keep_alive = self.parser.should_keep_alive() and not self.uploading
+        # A target that sent one response twice may also send the next
+        # response twice, so the connection is not reused.
+        keep_alive = (
+            keep_alive and not self.until_closed and not self.met_foreign
+        )
+        self._cancel_timer_and_upload()
         if self.rest is not None:
             self.rest.end()
             self.rest = None
             assert self.transport is not None
             self.transport.resume_reading()
         else:
-            self._answer(None)
-        if self.head_only or not keep:
+            self._deliver_response(None)
+        if self.head_only or not keep_alive:
             self.close()
             return
         self._reset()
         self.pool.release(self)
 
-    def _answer(self, rest: BodyBuffer | None) -> None:
-        answer = UpstreamResponse(
+    def _deliver_response(self, rest: BodyBuffer | None) -> None:
+        response = UpstreamResponse(
             self.parser.get_status_code(),
             self.headers,
             b"".join(self.chunks),
@@ -368,9 +382,9 @@
         self.chunks = []
         future, self.future = self.future, None
         if future is not None and not future.done():
-            future.set_result(answer)
+            future.set_result(response)
 
-    def _end_helpers(self) -> None:
+    def _cancel_timer_and_upload(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -379,8 +393,8 @@
             self.upload = None
 
     def fail(self, kind: ErrorKind) -> None:
-        """Ends the request under way with an error; closes the connection."""
-        self._end_helpers()
+        """Fails the request in flight with an error; closes the connection."""
+        self._cancel_timer_and_upload()
         future, self.future = self.future, None
         rest, self.rest = self.rest, None
         if future is not None and not future.done():
