--- a/packages/pomelobank-node/src/pomelobank_node/_body_frames.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_body_frames.py
@@ -104,9 +104,9 @@
         if not await stream.acquire_turn():
             return False
         size = min(CHUNK_BYTES, credit.available)
-        part = data[sent : sent + size]
-        credit.use(len(part))
-        sent += len(part)
-        stream.send(BodyChunk(request_id=request_id, data=part, more=True))
+        chunk = data[sent : sent + size]
+        credit.use(len(chunk))
+        sent += len(chunk)
+        stream.send(BodyChunk(request_id=request_id, data=chunk, more=True))
         stream.release_turn()
     return True
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -77,7 +77,7 @@
 # the extra round trip that asking for the body takes.
 HOLD_BACK_MS = 1.0
 _PERCENT = 100
-_TWICE = 2
+_MIN_ATTEMPTS_TO_HEDGE = 2
 
 
 def new_load_balancer(settings: RequestSettings) -> LoadBalancer:
@@ -297,7 +297,9 @@
 
     def _hedge_delay_ms(self, state: ForwardingState) -> float | None:
         request = state.request
-        single_attempt = (request.max_attempts or MAX_ATTEMPTS) < _TWICE
+        single_attempt = (
+            request.max_attempts or MAX_ATTEMPTS
+        ) < _MIN_ATTEMPTS_TO_HEDGE
         if self.hedging is None or single_attempt or not request.idempotent:
             return None
         if state.attempts or rest_of(request) is not None:
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarding_state.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarding_state.py
@@ -29,7 +29,7 @@
 HEDGE_MAX_WAIT_MS = 1
 # Fraction of the latency objective that a request may wait at an offered
 # target before the node offers the request to another target. An offer takes a
-# few milliseconds, so only a wait of about that length is worth keeping.
+# few milliseconds, so waiting pays only if the wait is about as short.
 OFFER_WAIT_PART = 0.1
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
@@ -13,7 +13,7 @@
 # further target shortens the wait by less and costs the same number of frames.
 # A target that has half as many slots frees a slot soon enough on its own.
 LATE_BINDING_SLOTS = 15
-_SEVERAL = 2
+_MIN_LATE_BINDING_TARGETS = 2
 
 
 def late_binding_target_count(candidates: Candidates) -> int:
@@ -38,7 +38,7 @@
         state: The request and its attempts so far.
         candidates: The targets of the request's upstream.
     """
-    if late_binding_target_count(candidates) < _SEVERAL:
+    if late_binding_target_count(candidates) < _MIN_LATE_BINDING_TARGETS:
         return False
     request = state.request
     if state.runs_isolated or not request.idempotent:
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
@@ -70,7 +70,7 @@
 ACCEPT_BACKLOG = 1024
 # Longest wait at a stop for the replies of running requests. The remaining
 # grace period of the process may be shorter.
-_REPLIES_S = 5.0
+_REPLIES_TIMEOUT_S = 5.0
 
 
 class ConfigFrames(Protocol):
@@ -453,4 +453,4 @@
             for task in connection.running.values()
         ]
         if running:
-            await asyncio.wait(running, timeout=_REPLIES_S)
+            await asyncio.wait(running, timeout=_REPLIES_TIMEOUT_S)
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_outgoing_stream.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_outgoing_stream.py
@@ -263,23 +263,26 @@
 
 
 @pytest.mark.parametrize(
-    ("takes", "answer"),
+    ("accepts", "expected_frame"),
     [
         pytest.param(True, SlotAccept, id="accepted"),
         pytest.param(False, CancelRequest, id="bound elsewhere"),
     ],
 )
 async def test_offered_slot_is_accepted_or_released(
-    link: PeerLink, peer: ScriptedPeer, takes: bool, answer: type[WireMessage]
+    link: PeerLink,
+    peer: ScriptedPeer,
+    accepts: bool,
+    expected_frame: type[WireMessage],
 ) -> None:
     """Guards against a slot reserved for a request that runs elsewhere."""
-    task = asyncio.create_task(link.forward(request(), lambda: takes))
+    task = asyncio.create_task(link.forward(request(), lambda: accepts))
     await peer.expect(ForwardRequest)
     peer.send(SlotOffer(request_id=1))
-    await peer.expect(answer)
+    await peer.expect(expected_frame)
     peer.send(ForwardReply(request_id=1, status=200))
     reply = await task
-    assert (reply.status == 200) is takes
+    assert (reply.status == 200) is accepts
 
 
 async def test_slot_offered_after_the_request_ended(
