--- a/packages/pomelobank-node/src/pomelobank_node/callers/__init__.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/__init__.py
@@ -1,4 +1,4 @@
-"""Callers' requests: from the bytes of a connection to a route and back."""
+"""Serves callers over HTTP/1.1: parses requests and writes responses."""
 
 from pomelobank_node._http_conventions import HttpConventions
 from pomelobank_node.callers._connection import HttpConnection
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
@@ -1,9 +1,10 @@
-"""One HTTP/1.1 connection: requests in, answers out in the same order.
+"""One HTTP/1.1 connection of a caller, with concurrent pipelined requests.
 
-The house style asks for uvicorn. It answers the requests of one connection one
-after the other, so that a caller who sends four look-ups at once waits for
-their sum; here they run at the same time. It has no bound on the time that a
-head may take, either.
+The house style asks for uvicorn, which does not fit here for two reasons.
+Uvicorn handles the requests of one connection one after the other, so that a
+caller that pipelines four look-ups waits for the sum of their latencies; this
+connection runs them concurrently and writes the responses in request order.
+Uvicorn also has no time-out for receiving a request's head.
 """
 
 from __future__ import annotations
@@ -39,8 +40,9 @@
 )
 
 _logger = logging.getLogger(__name__)
-# Requests of one connection that run at once; later ones stay unread. One
-# caller could otherwise take every slot of an upstream.
+# Requests of one connection that run concurrently. At the limit the connection
+# stops reading, since one caller could otherwise occupy every slot of an
+# upstream.
 _MAX_PIPELINED = 32
 _MAX_HEADERS = 128
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -48,13 +50,13 @@
 
 
 class ConnectionHost(Protocol):
-    """Whose connection it is.
+    """The server that a connection belongs to.
 
     Attributes:
-        handler: Answers each request.
-        http_conventions: How errors are told.
-        limits: What callers may send.
-        draining: Whether connections end after the answers under way.
+        handler: Returns the response to each request.
+        http_conventions: Defines the format of error responses.
+        limits: Limits on requests.
+        draining: Whether each connection is closed after its pending responses.
         connections: Open connections.
     """
 
@@ -65,24 +67,32 @@
     connections: set[HttpConnection]
 
     def accept(self, connection: HttpConnection) -> bool:
-        """Takes a new connection; returns whether there is room for it."""
+        """Registers a new connection; returns False above the limit."""
 
 
 class HttpConnection(asyncio.Protocol):
-    """Reads requests, runs them at the same time, answers in their order.
+    """Runs a connection's requests concurrently and responds in their order.
 
     Attributes:
-        server: Whose connection it is.
-        loop: The event loop; asked for once, since each answer costs a system
-            call.
-        exchanges: Requests without a written answer, the oldest first.
-        reading: The request whose body is being read.
-        seen_s: Loop time at which bytes last came or an answer was written.
-        head_since_s: Loop time at which an incomplete head began, None where
-            there is none.
-        ended: Whether nothing further is read.
-        closing: Whether an answer requires the connection to close. New
-            requests are then ignored, and pending ones are still answered.
+        server: The server that the connection belongs to.
+        transport: The connection's transport; None before it is connected.
+        loop: The event loop; stored, since each lookup of the running loop
+            costs a system call.
+        parser: The incremental HTTP parser.
+        exchanges: Requests whose response is not fully written, oldest first.
+        reading: The request whose body is being received.
+        streaming: Task that writes a long response's body; None without one.
+        writable: Set while the transport's write buffer accepts data.
+        url: Request target of the head that is being received.
+        headers: Headers of the head that is being received.
+        head_bytes: Bytes of the incomplete head, not counting its first read.
+        seen_s: Loop time of the last received byte or written response.
+        head_since_s: Loop time at which an incomplete head began; None if no
+            head is incomplete.
+        ended: Whether further received bytes are ignored.
+        closing: Whether a response requires the connection to close. New
+            requests are then ignored; pending requests still get a response.
+        paused: Whether reading from the transport is paused.
     """
 
     def __init__(self, server: ConnectionHost) -> None:
@@ -104,10 +114,10 @@
         self.closing = False
         self.paused = False
 
-    # The transport's side.
+    # Transport callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport, unless there are too many."""
+        """Registers the connection, or aborts it above the server's limit."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.loop = asyncio.get_running_loop()
@@ -116,10 +126,11 @@
             transport.abort()
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Cancels the requests of a caller that has gone.
+        """Cancels the requests of a caller that has disconnected.
 
-        Without this a target would go on working for nobody, most of all in
-        an overload, when callers give up and try again.
+        Without the cancellation a target would spend its slots on responses
+        that no caller reads, most of all under overload, when callers time out
+        and retry.
         """
         self.ended = True
         self.server.connections.discard(self)
@@ -131,17 +142,17 @@
         self.exchanges.clear()
 
     def pause_writing(self) -> None:
-        """Reads nothing more from a caller that does not read."""
+        """Pauses reading from a caller that does not read its responses."""
         self.writable.clear()
         self._adjust_reading()
 
     def resume_writing(self) -> None:
-        """Goes on."""
+        """Resumes reading once the caller has read its responses."""
         self.writable.set()
         self._adjust_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came in."""
+        """Parses received bytes."""
         if self.ended:
             return
         self.seen_s = self.loop.time()
@@ -149,8 +160,8 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # Another protocol would begin here, and none is spoken. Its first
-            # bytes must not be taken for a request.
+            # The caller switches to another protocol, which this server does
+            # not support. Further bytes must not be parsed as a request.
             self.ended = True
             self._close_after_last()
         except httptools.HttpParserError:
@@ -159,25 +170,25 @@
             self._count_head(len(data))
         self._adjust_reading()
 
-    # The parser's side.
+    # Parser callbacks.
 
     def on_message_begin(self) -> None:
-        """Begins a request."""
+        """Resets the head's state for a new request."""
         self.url = b""
         self.headers = []
         self.head_bytes = 0
         self.head_since_s = self.seen_s
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the path."""
+        """Appends a part of the request target."""
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Stores a header with its name in lower case."""
         self.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Begins the exchange, unless its head breaks a limit."""
+        """Creates the exchange, or rejects a head that exceeds a limit."""
         self.head_since_s = None
         if self.ended or self.closing:
             return
@@ -189,15 +200,15 @@
         )
         self.exchanges.append(exchange)
         self.reading = exchange
-        problem = self._head_problem(exchange)
-        if problem is not None:
-            self._end_with(exchange, problem)
-        elif find_header(self.headers, b"expect") and not self._behind():
+        error_kind = self._head_error(exchange)
+        if error_kind is not None:
+            self._end_with_error(exchange, error_kind)
+        elif find_header(self.headers, b"expect") and not self._is_pipelined():
             assert self.transport is not None
             self.transport.write(_CONTINUE)
 
     def on_body(self, data: bytes) -> None:
-        """Collects the body, or passes it on once it is long."""
+        """Buffers a short body; streams a long body to the handler."""
         exchange = self.reading
         if exchange is None or exchange.response is not None:
             return
@@ -212,7 +223,7 @@
                 self._start_upload(exchange)
 
     def on_message_complete(self) -> None:
-        """Hands a whole request on."""
+        """Passes a complete request to the handler."""
         exchange, self.reading = self.reading, None
         if exchange is None or exchange.response is not None:
             return
@@ -223,9 +234,9 @@
         if not exchange.keep_alive:
             self.ended = True
 
-    # Reading.
+    # Receiving requests.
 
-    def _head_problem(self, exchange: Exchange) -> ErrorKind | None:
+    def _head_error(self, exchange: Exchange) -> ErrorKind | None:
         limits = self.server.limits
         size = len(exchange.target)
         size += sum(len(name) + len(value) + 4 for name, value in self.headers)
@@ -236,18 +247,21 @@
             return ErrorKind.BODY_TOO_LARGE
         return None
 
-    def _behind(self) -> bool:
+    def _is_pipelined(self) -> bool:
         return len(self.exchanges) > 1
 
     def _count_head(self, size: int) -> None:
-        # The parser tells of a header once it is whole; a single one without
-        # an end would grow in its memory unseen.
+        # The parser reports a header only once the header is complete; an
+        # endless header would grow in the parser's memory without a bound.
         self.head_bytes += size
         if self.head_bytes > self.server.limits.head_bytes:
             self._reject(ErrorKind.HEAD_TOO_LARGE)
 
     def _reject(self, kind: ErrorKind) -> None:
-        """Answers what cannot be read on, after the answers before it."""
+        """Ends the current request with an error and stops reading.
+
+        The error is written after the responses to earlier requests.
+        """
         exchange = self.reading
         if exchange is None or exchange.response is not None:
             exchange = Exchange("", b"", [], keep_alive=False)
@@ -257,9 +271,9 @@
             exchange.keep_alive = False
             self.ended = True
             return
-        self._end_with(exchange, kind)
+        self._end_with_error(exchange, kind)
 
-    def _end_with(self, exchange: Exchange, kind: ErrorKind) -> None:
+    def _end_with_error(self, exchange: Exchange, kind: ErrorKind) -> None:
         error = RequestError(kind)
         exchange.response = error_response(
             error, self.server.http_conventions, closes=True
@@ -270,9 +284,10 @@
 
     def _body_too_large(self, exchange: Exchange) -> None:
         if exchange.upload is None:
-            self._end_with(exchange, ErrorKind.BODY_TOO_LARGE)
+            self._end_with_error(exchange, ErrorKind.BODY_TOO_LARGE)
             return
-        # A part of it may be at a target already.
+        # A target may have received a part of the body already. The error is
+        # therefore passed to the handler through the upload.
         exchange.upload.fail(ErrorKind.BODY_INCOMPLETE)
         exchange.keep_alive = False
         self.ended = True
@@ -305,21 +320,21 @@
         upload = self.reading.upload if self.reading is not None else None
         return upload is not None and upload.size > WINDOW_BYTES
 
-    # Answering.
+    # Writing responses.
 
     async def _serve(self, exchange: Exchange) -> None:
         try:
-            answer = await self.server.handler(exchange.request())
+            response = await self.server.handler(exchange.request())
         except Exception:
             _logger.exception("request.failed")
             error = RequestError(ErrorKind.INTERNAL)
-            answer = error_response(
+            response = error_response(
                 error, self.server.http_conventions, closes=True
             )
-        exchange.response = answer
+        exchange.response = response
         if exchange.upload is not None and not exchange.upload.ended:
-            # The rest of the body is still to come, or never will. Bytes of it
-            # must not be taken for the next request.
+            # The request's body is not fully received. Its remaining bytes must
+            # not be parsed as the next request.
             exchange.keep_alive = False
             self.ended = True
         self._flush()
@@ -329,7 +344,7 @@
             exchange = self.exchanges[0]
             if exchange.response is None or self.transport is None:
                 return
-            closes = self._closes(exchange)
+            closes = self._closes_connection(exchange)
             head_only = exchange.method == "HEAD"
             self.transport.write(
                 encode_response(exchange.response, head_only, closes)
@@ -339,19 +354,20 @@
                     self._stream(exchange, closes)
                 )
                 return
-            self._done(closes)
+            self._finish_exchange(closes)
 
-    def _closes(self, exchange: Exchange) -> bool:
+    def _closes_connection(self, exchange: Exchange) -> bool:
         assert exchange.response is not None
         if not exchange.keep_alive:
             return True
         self.closing = self.closing or exchange.response.closes
-        # Requests behind this one are under way; only the last answer may end
-        # the connection, or they would be sent again elsewhere.
+        # Later requests of this connection are in flight. Only the last
+        # response may close the connection; if an earlier response closed it,
+        # the caller would send the later requests again elsewhere.
         must_close = self.closing or self.server.draining
-        return must_close and not self._behind()
+        return must_close and not self._is_pipelined()
 
-    def _done(self, closes: bool) -> None:
+    def _finish_exchange(self, closes: bool) -> None:
         self.exchanges.popleft()
         self.seen_s = self.loop.time()
         if closes:
@@ -368,29 +384,29 @@
             self.transport.close()
 
     async def _stream(self, exchange: Exchange, closes: bool) -> None:
-        answer = exchange.response
-        assert answer is not None
+        response = exchange.response
+        assert response is not None
         try:
-            whole = await self._write_rest(answer)
+            complete = await self._write_remaining_body(response)
         finally:
-            assert answer.rest is not None
-            answer.rest.close()
-        if not whole:
-            # The reset connection is what tells the caller that the body is
-            # not whole.
+            assert response.rest is not None
+            response.rest.close()
+        if not complete:
+            # The reset of the connection signals to the caller that the body is
+            # incomplete.
             self.abort()
             return
         self.streaming = None
-        self._done(closes)
+        self._finish_exchange(closes)
         self._flush()
 
-    async def _write_rest(self, answer: HttpResponse) -> bool:
-        assert answer.rest is not None and self.transport is not None
-        chunked = answer.chunked
+    async def _write_remaining_body(self, response: HttpResponse) -> bool:
+        assert response.rest is not None and self.transport is not None
+        chunked = response.chunked
         if chunked:
-            self.transport.write(encode_chunk(answer.body))
+            self.transport.write(encode_chunk(response.body))
         try:
-            while data := await answer.rest.read():
+            while data := await response.rest.read():
                 await self.writable.wait()
                 self.transport.write(encode_chunk(data) if chunked else data)
         except RequestError as error:
@@ -402,7 +418,7 @@
             self.transport.write(LAST_CHUNK)
         return True
 
-    # Time-outs and ends.
+    # Time-outs and closing.
 
     def _close_after_last(self) -> None:
         if self.exchanges:
@@ -411,30 +427,35 @@
             self.transport.close()
 
     def check_timeouts(self, now_s: float) -> None:
-        """Ends a connection that is idle or slow for too long."""
+        """Closes the connection if it exceeds its idle or request time-out.
+
+        Args:
+            now_s: Current loop time.
+        """
         limits = self.server.limits
         if self.head_since_s is not None:
             if now_s - self.head_since_s > limits.head_timeout_ms / _MS_PER_S:
                 self._reject(ErrorKind.HEAD_TIMEOUT)
             return
-        silent = now_s - self.seen_s > limits.idle_timeout_ms / _MS_PER_S
-        if silent and self.reading is not None and not self.ended:
+        idle = now_s - self.seen_s > limits.idle_timeout_ms / _MS_PER_S
+        if idle and self.reading is not None and not self.ended:
             self._reject(ErrorKind.HEAD_TIMEOUT)
-        elif silent:
+        elif idle:
             self.close_if_idle()
 
     def close_if_idle(self) -> None:
-        """Closes the connection unless a request is under way or coming."""
+        """Closes the connection unless a request is in flight or arriving."""
         idle = not self.exchanges and self.head_since_s is None
         if idle and self.transport is not None:
             self.ended = True
             self.transport.close()
 
     def fail_pending(self) -> None:
-        """Ends what is under way, so that answers behind it get out.
+        """Ends requests in flight with an error, so that ready responses leave.
 
-        Answers keep the order of their requests; one that is ready would
-        otherwise be lost with a connection whose oldest request hangs.
+        Responses are written in the order of their requests. Without this
+        method a ready response would be lost when the connection closes while
+        an earlier request still has no response.
         """
         error = RequestError(ErrorKind.STOPPED_UNKNOWN)
         for exchange in self.exchanges:
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_error_responses.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_error_responses.py
@@ -1,4 +1,4 @@
-"""Answers that the system itself gives."""
+"""HTTP responses for requests that the node ends with an error."""
 
 import json
 
@@ -12,37 +12,37 @@
 
 
 def error_response(
-    error: RequestError, dialect: HttpConventions, closes: bool = False
+    error: RequestError, conventions: HttpConventions, closes: bool = False
 ) -> HttpResponse:
-    """Returns what a caller is told of an error.
+    """Returns the HTTP response that reports an error to a caller.
 
     Args:
         error: The error.
-        dialect: How the caller reads times.
-        closes: Whether the connection ends after it.
+        conventions: Defines the format of the Retry-After header.
+        closes: Whether the connection is closed after the response.
     """
-    answer = ERROR_RESPONSES[error.kind]
+    response = ERROR_RESPONSES[error.kind]
     retry_after_ms = error.retry_after_ms
     if retry_after_ms is None:
-        retry_after_ms = answer.retry_after_ms
+        retry_after_ms = response.retry_after_ms
     document = {
         "error": error.kind.value,
-        "run": answer.run_state.value,
+        "run": response.run_state.value,
         "retry_after_ms": retry_after_ms,
-        "message": answer.message,
+        "message": response.message,
     }
     headers = [
         (b"content-type", b"application/json"),
         (ERROR_HEADER, error.kind.value.encode()),
-        (RUN_HEADER, answer.run_state.value.encode()),
+        (RUN_HEADER, response.run_state.value.encode()),
     ]
     if retry_after_ms:
-        headers.append((b"retry-after", _seconds(retry_after_ms, dialect)))
+        headers.append((b"retry-after", _seconds(retry_after_ms, conventions)))
     body = json.dumps(document).encode()
-    return HttpResponse(answer.status, headers, body, closes=closes)
+    return HttpResponse(response.status, headers, body, closes=closes)
 
 
-def _seconds(time_ms: int, dialect: HttpConventions) -> bytes:
-    if dialect.fractional_retry_after:
+def _seconds(time_ms: int, conventions: HttpConventions) -> bytes:
+    if conventions.fractional_retry_after:
         return b"%.3f" % (time_ms / _MS_PER_S)
     return b"%d" % -(-time_ms // _MS_PER_S)
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_exchange.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_exchange.py
@@ -1,4 +1,4 @@
-"""A caller's request on one connection, and its answer."""
+"""One request of a caller's connection, and its response."""
 
 import asyncio
 
@@ -11,18 +11,19 @@
 
 @attrs.define(eq=False)
 class Exchange:
-    """A request and its answer.
+    """A request, the state of its body, and its response.
 
     Attributes:
         method: HTTP method.
         target: Raw path with query.
         headers: Headers with lower-case names.
-        keep_alive: Whether the caller wants the connection kept.
-        parts: The body so far, until the request is handed on.
-        size: Bytes of the body so far.
-        upload: The rest of a long body.
-        task: Finds the answer.
-        response: The answer, once it is known.
+        keep_alive: Whether the connection stays open after the response.
+        parts: Body data received before the handler is called.
+        size: Bytes of the body received so far.
+        upload: Receives the remainder of a body that is too long to buffer;
+            None for other requests.
+        task: Runs the handler; None until the handler is called.
+        response: The response; None until the handler returns.
     """
 
     method: str
@@ -36,7 +37,7 @@
     response: HttpResponse | None = None
 
     def request(self) -> HttpRequest:
-        """Returns the request with what has been read of its body."""
+        """Returns the request with the body data received so far."""
         return HttpRequest(
             self.method,
             self.target,
@@ -46,7 +47,11 @@
         )
 
     def cancel(self) -> None:
-        """Gives the request up: its caller has gone, or will not be told."""
+        """Cancels the handler and closes the bodies of request and response.
+
+        The connection calls this method when the caller has disconnected or
+        when the connection closes before this response can be written.
+        """
         if self.task is not None:
             self.task.cancel()
         if self.upload is not None:
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests to targets and their answers back."""
+"""Dispatches callers' requests to targets and returns their responses."""
 
 import asyncio
 import logging
@@ -29,23 +29,26 @@
 
 ANSWERED = "answered"
 BROKEN_OFF = "broken_off"
-# Names of hosts; an address with a port may stand in a host header too.
+# A host name or an IPv4 address; the port of the host header is removed before
+# the match.
 _SERVICE_NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._-]{0,252})")
-# Headers that others read back in logs; longer ones are mistakes.
-_LONGEST_ID = 256
-# A day; a longer wait is a mistake in the caller's units.
-_LONGEST_TIMEOUT_MS = 86_400_000
+# Maximum length of a request id or idempotency key. Logs repeat these values,
+# and a longer value is an error of the caller.
+_MAX_ID_BYTES = 256
+# One day; a longer time-out means that the caller used the wrong unit.
+_MAX_TIMEOUT_MS = 86_400_000
 _TRACE_BITS = 128
 _HEAD = "HEAD"
 
 
 @attrs.define(eq=False)
 class CountedBody:
-    """Passes an answer's body on and notes whether it was whole.
+    """Forwards a response's body and counts whether it was complete.
 
     Attributes:
         source: The body.
-        outcomes: How many requests ended in which way.
+        outcomes: Number of requests by outcome.
+        started: Whether a part of the body was read.
     """
 
     source: BodySource
@@ -53,7 +56,7 @@
     started: bool = False
 
     async def read(self) -> bytes:
-        """Returns the next part, empty at the end."""
+        """Returns the next part of the body; empty at the end."""
         self.started = True
         try:
             data = await self.source.read()
@@ -65,23 +68,23 @@
         return data
 
     def close(self) -> None:
-        """Gives the rest up."""
+        """Discards the remaining body."""
         self.source.close()
 
 
 @attrs.define(eq=False)
 class Ingress:
-    """Answers callers.
+    """Handles callers' requests: parses, dispatches, counts and logs them.
 
     Attributes:
-        dispatcher: Takes requests to targets.
-        clock: Tells the time.
+        dispatcher: Sends requests to targets.
+        clock: The node's clock.
         http_conventions: Names of the headers.
-        origin: Upstream of the instance that requests begin on.
-        outcomes: How many requests ended in which way, for the metrics.
-        latency: Times to an answer, for the metrics.
-        log_limiter: Bounds the lines that are logged.
-        draining: Set when no new request is taken.
+        origin: Upstream of the instance whose callers this node serves.
+        outcomes: Number of requests by outcome, for the metrics.
+        latency: Histogram of response times, for the metrics.
+        log_limiter: Limits the rate of log lines.
+        draining: Whether new requests are rejected because the node stops.
     """
 
     dispatcher: Dispatcher
@@ -94,41 +97,41 @@
     draining: bool = False
 
     async def __call__(self, request: HttpRequest) -> HttpResponse:
-        """Answers one request."""
-        begun_ms = self.clock.now_ms()
+        """Returns the response to one request."""
+        start_ms = self.clock.now_ms()
         trace = begin_trace()
         try:
-            answer = await self._answer(request)
+            response = await self._handle(request)
         except RequestError as error:
-            self._note_refused(error, trace, begun_ms)
+            self._record_error(error, trace, start_ms)
             return error_response(
                 error, self.http_conventions, closes=self.draining
             )
         except asyncio.CancelledError:
-            # The caller has gone, so there is nobody to answer.
+            # The caller has disconnected, so no response can be sent.
             self.outcomes[ErrorKind.CANCELLED.value] += 1
-            self._log("request.cancelled", trace, begun_ms, ErrorKind.CANCELLED)
+            self._log("request.cancelled", trace, start_ms, ErrorKind.CANCELLED)
             raise
-        self._note_answered(answer, trace, begun_ms)
-        return answer
+        self._record_response(response, trace, start_ms)
+        return response
 
-    async def _answer(self, request: HttpRequest) -> HttpResponse:
+    async def _handle(self, request: HttpRequest) -> HttpResponse:
         if self.draining:
             raise RequestError(ErrorKind.DRAINING)
-        caller = self._read(request)
-        reply = await self.dispatcher.dispatch(caller)
-        reported = reply_error(reply)
-        if reported is not None:
-            raise reported
+        caller_request = self._parse_request(request)
+        reply = await self.dispatcher.dispatch(caller_request)
+        reply_failure = reply_error(reply)
+        if reply_failure is not None:
+            raise reply_failure
         return self._from_reply(reply, request.method)
 
-    def _read(self, request: HttpRequest) -> CallerRequest:
-        dialect = self.http_conventions
+    def _parse_request(self, request: HttpRequest) -> CallerRequest:
+        conventions = self.http_conventions
         headers = dict(request.headers)
-        trace_id = headers.get(dialect.request_id, b"").decode("latin-1")
+        trace_id = headers.get(conventions.request_id, b"").decode("latin-1")
         trace_id = trace_id or f"{random.getrandbits(_TRACE_BITS):032x}"
-        key = headers.get(dialect.idempotency_key, b"").decode("latin-1")
-        if max(len(trace_id), len(key)) > _LONGEST_ID:
+        key = headers.get(conventions.idempotency_key, b"").decode("latin-1")
+        if max(len(trace_id), len(key)) > _MAX_ID_BYTES:
             raise RequestError(ErrorKind.BAD_REQUEST)
         request_id.set(trace_id)
         if request.rest is not None and key:
@@ -140,30 +143,30 @@
             method=request.method,
             path=request.target.partition(b"?")[0].decode("latin-1"),
             target=request.target,
-            headers=self._passed_on(request, headers),
+            headers=self._forwarded_headers(request, headers),
             body=request.body,
             trace_id=trace_id,
-            timeout_ms=self._timeout_ms(headers.get(dialect.timeout, b"")),
+            timeout_ms=self._timeout_ms(headers.get(conventions.timeout, b"")),
             idempotency_key=key,
             rest=request.rest,
         )
 
-    def _passed_on(
+    def _forwarded_headers(
         self, request: HttpRequest, headers: dict[bytes, bytes]
     ) -> list[tuple[bytes, bytes]]:
         dropped = self.http_conventions.stripped
-        passed_on = [
+        forwarded = [
             item
             for item in end_to_end(request.headers)
             if item[0] not in dropped
         ]
         if self.http_conventions.origin:
-            passed_on.append(
+            forwarded.append(
                 (self.http_conventions.origin, self.origin.encode())
             )
         if request.rest is not None and CONTENT_LENGTH in headers:
-            passed_on.append((CONTENT_LENGTH, headers[CONTENT_LENGTH]))
-        return passed_on
+            forwarded.append((CONTENT_LENGTH, headers[CONTENT_LENGTH]))
+        return forwarded
 
     def _timeout_ms(self, value: bytes) -> int:
         if not value:
@@ -172,12 +175,12 @@
             timeout_ms = float(value)
         except ValueError:
             raise RequestError(ErrorKind.BAD_REQUEST) from None
-        if not 0 <= timeout_ms <= _LONGEST_TIMEOUT_MS:
+        if not 0 <= timeout_ms <= _MAX_TIMEOUT_MS:
             raise RequestError(ErrorKind.BAD_REQUEST)
         if timeout_ms < 1:
-            late = self.http_conventions.zero_timeout_is_expired
+            expired = self.http_conventions.zero_timeout_is_expired
             raise RequestError(
-                ErrorKind.DEADLINE_NOT_RUN if late else ErrorKind.BAD_REQUEST
+                ErrorKind.DEADLINE_NOT_RUN if expired else ErrorKind.BAD_REQUEST
             )
         return int(timeout_ms)
 
@@ -204,26 +207,26 @@
         counted = CountedBody(rest, self.outcomes)
         return HttpResponse(reply.status, headers, reply.body, counted)
 
-    def _note_answered(
-        self, answer: HttpResponse, trace: RequestTrace, begun_ms: int
+    def _record_response(
+        self, response: HttpResponse, trace: RequestTrace, start_ms: int
     ) -> None:
-        if answer.rest is None:
+        if response.rest is None:
             self.outcomes[ANSWERED] += 1
-        self.latency.add(self.clock.now_ms() - begun_ms)
+        self.latency.add(self.clock.now_ms() - start_ms)
         if self.log_limiter.allow_success(self.clock.now_ms()):
-            self._log("request.answered", trace, begun_ms, answer.status)
+            self._log("request.answered", trace, start_ms, response.status)
 
-    def _note_refused(
-        self, error: RequestError, trace: RequestTrace, begun_ms: int
+    def _record_error(
+        self, error: RequestError, trace: RequestTrace, start_ms: int
     ) -> None:
         self.outcomes[error.kind.value] += 1
-        self._log("request.refused", trace, begun_ms, error.kind)
+        self._log("request.refused", trace, start_ms, error.kind)
 
     def _log(
         self,
         event: str,
         trace: RequestTrace,
-        begun_ms: int,
+        start_ms: int,
         outcome: ErrorKind | int | str,
     ) -> None:
         now_ms = self.clock.now_ms()
@@ -239,7 +242,7 @@
                 "routed_version": trace.version,
                 "upstream": trace.upstream,
                 "had_ms": trace.deadline_ms,
-                "took_ms": now_ms - begun_ms,
+                "took_ms": now_ms - start_ms,
                 "tries": [str(item) for item in trace.attempts],
                 "lines_dropped": self.log_limiter.pop_dropped(),
             },
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_messages.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers of HTTP/1.1 as the node's servers exchange them."""
+"""HTTP/1.1 requests and responses of the node's servers."""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
@@ -21,35 +21,38 @@
 
 @attrs.frozen
 class HttpLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and the duration of callers' requests.
 
     Attributes:
-        head_bytes: Largest head of a request.
-        body_bytes: Largest body of a request.
-        head_timeout_ms: Longest time from the first byte of a head to its end.
-        idle_timeout_ms: Longest time that a connection is kept unused.
+        head_bytes: Maximum size of a request's head.
+        body_bytes: Maximum size of a request's body.
+        head_timeout_ms: Maximum time from the first byte of a head to its end.
+        idle_timeout_ms: Maximum time that an idle connection stays open.
     """
 
-    # Common servers stop at 8 to 64 KiB; larger heads are mistakes or attacks.
+    # Common servers reject heads above 8 to 64 KiB; larger heads are errors
+    # of the caller or attacks.
     head_bytes: int = 64 * 1024
-    # A complete revision history is tens of megabytes.
+    # The largest legitimate body, a complete revision history, has tens of
+    # megabytes.
     body_bytes: int = 64 * 1024 * 1024
-    # A head is one or two packets; ten seconds outlast their repeats.
+    # A head is one or two packets; ten seconds leave time for their TCP
+    # retransmissions.
     head_timeout_ms: int = 10_000
-    # Callers' libraries commonly keep connections for a minute.
+    # Callers' HTTP libraries commonly keep idle connections for a minute.
     idle_timeout_ms: int = 75_000
 
 
 @attrs.frozen(eq=False)
 class HttpRequest:
-    """A request as it was read.
+    """A request received from a caller.
 
     Attributes:
         method: HTTP method.
         target: Raw path with query.
         headers: Headers with lower-case names.
-        body: Whole body, or its first part.
-        rest: The rest of the body, None where `body` is the whole.
+        body: The whole body, or its first part.
+        rest: The remaining body; None if `body` is the whole body.
     """
 
     method: str
@@ -61,14 +64,14 @@
 
 @attrs.frozen(eq=False)
 class HttpResponse:
-    """An answer to be written.
+    """A response to a caller.
 
     Attributes:
         status: HTTP status.
-        headers: Headers, without those of the connection.
-        body: Whole body, or its first part.
-        rest: The rest of the body, None where `body` is the whole.
-        closes: Whether the connection ends after it.
+        headers: Headers, without hop-by-hop headers.
+        body: The whole body, or its first part.
+        rest: The remaining body; None if `body` is the whole body.
+        closes: Whether the connection is closed after the response.
     """
 
     status: int
@@ -79,40 +82,45 @@
 
     @property
     def chunked(self) -> bool:
-        """Whether the body's length is not known when the head is written."""
+        """Whether the body is sent chunked because its length is unknown."""
         if self.rest is None:
             return False
         return find_header(self.headers, CONTENT_LENGTH) is None
 
 
 def encode_response(
-    answer: HttpResponse, head_only: bool, closes: bool
+    response: HttpResponse, head_only: bool, closes: bool
 ) -> bytes:
-    """Returns the bytes of an answer's head and of its body's first part.
+    """Returns the encoded head of a response and the first part of its body.
+
+    The first part of a chunked body is left to the caller of this function.
 
     Args:
-        answer: The answer.
-        head_only: Whether it answers a HEAD request and so has no body.
-        closes: Whether the connection ends after it.
+        response: The response.
+        head_only: Whether the body is omitted, as for a HEAD request.
+        closes: Whether the connection is closed after the response.
     """
-    parts = [_STATUS_LINES.get(answer.status) or _unnamed(answer.status)]
-    whole = answer.rest is None and not head_only
-    for name, value in answer.headers:
-        if not (whole and name == CONTENT_LENGTH):
+    parts = [
+        _STATUS_LINES.get(response.status)
+        or _nonstandard_status_line(response.status)
+    ]
+    complete = response.rest is None and not head_only
+    for name, value in response.headers:
+        if not (complete and name == CONTENT_LENGTH):
             parts += (name, b": ", value, b"\r\n")
-    if whole and answer.status not in NO_BODY_STATUSES:
-        parts.append(b"content-length: %d\r\n" % len(answer.body))
-    elif answer.chunked and not head_only:
+    if complete and response.status not in NO_BODY_STATUSES:
+        parts.append(b"content-length: %d\r\n" % len(response.body))
+    elif response.chunked and not head_only:
         parts.append(b"transfer-encoding: chunked\r\n")
     if closes:
         parts.append(b"connection: close\r\n")
     parts.append(b"\r\n")
-    if not head_only and not answer.chunked:
-        parts.append(answer.body)
+    if not head_only and not response.chunked:
+        parts.append(response.body)
     return b"".join(parts)
 
 
-def _unnamed(status: int) -> bytes:
+def _nonstandard_status_line(status: int) -> bytes:
     return b"HTTP/1.1 %d \r\n" % status
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_server.py
@@ -1,4 +1,4 @@
-"""Listens for HTTP/1.1 and hands every request to one handler."""
+"""HTTP/1.1 server that passes every request to one handler."""
 
 import asyncio
 import socket
@@ -13,37 +13,40 @@
 )
 from pomelobank_schema import parse_address
 
-# A burst of callers must not find the queue of new connections full: their
-# first packet would be dropped and sent again after a second or more.
-_BACKLOG = 1024
-# Connections at once; well under the descriptors that a node has, so that
-# streams to peers and to the target always find one.
+# Connections that the kernel queues until the node accepts them. When a burst
+# of callers fills the queue, the kernel drops their SYN packets and they retry
+# only after a second or more.
+_LISTEN_BACKLOG = 1024
+# Open connections of callers; well below the node's limit of file descriptors,
+# so that streams to peers and to the target can always be opened.
 _MAX_CONNECTIONS = 3000
-# Time-outs of seconds are noticed in time.
-_SWEEP_S = 0.5
+# Interval between checks of the connections' time-outs, which are seconds.
+_TIMEOUT_CHECK_INTERVAL_S = 0.5
 _MS_PER_S = 1000
-# For the last answers to leave before connections are closed.
-_LAST_WRITE_MS = 50
+# Wait for the error responses of a stop to be sent before connections are
+# aborted.
+_FINAL_WRITE_TIMEOUT_MS = 50
 
 
 @attrs.define(eq=False)
 class CallerServer:
-    """Serves one handler.
+    """Accepts connections and serves their requests with one handler.
 
     Attributes:
-        listen: Address to listen on; port 0 takes a free one.
-        handler: Answers each request.
-        http_conventions: How errors are told.
-        limits: What callers may send; replaced with the configuration.
-        stop_timeout_ms: Longest wait at a stop for requests under way.
-        auto_check_timeouts: Whether it looks for time-outs by itself; else its
-            owner calls `check_timeouts` now and then.
-        listener: Socket that is already listening; None to open one.
-        address: Address that is really used, once it listens.
-        draining: Whether connections end after the answers under way.
+        listen: Address to listen on; port 0 selects a free port.
+        handler: Returns the response to each request.
+        http_conventions: Defines the format of error responses.
+        limits: Limits on requests; replaced when the configuration changes.
+        stop_timeout_ms: Maximum wait of `stop` for requests in flight.
+        auto_check_timeouts: Whether the server checks time-outs periodically;
+            if not, its user calls `check_timeouts`.
+        listener: Socket that is already listening; None to open a new socket.
+        address: Address that the server is bound to, once it listens.
+        draining: Whether each connection is closed after its pending responses.
         connections: Open connections.
-        rejected_connections: Connections that were one too many, for the
+        rejected_connections: Connections rejected above the limit, for the
             metrics.
+        sweeper: Task that checks time-outs periodically.
     """
 
     listen: str
@@ -67,36 +70,41 @@
             self.server = await loop.create_server(
                 lambda: HttpConnection(self),
                 sock=self.listener,
-                backlog=_BACKLOG,
+                backlog=_LISTEN_BACKLOG,
             )
         else:
             host, port = parse_address(self.listen)
             self.server = await loop.create_server(
-                lambda: HttpConnection(self), host, port, backlog=_BACKLOG
+                lambda: HttpConnection(self),
+                host,
+                port,
+                backlog=_LISTEN_BACKLOG,
             )
         bound = self.server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
         if self.auto_check_timeouts:
-            self.sweeper = asyncio.create_task(self._sweep())
+            self.sweeper = asyncio.create_task(
+                self._check_timeouts_periodically()
+            )
 
-    async def _sweep(self) -> None:
+    async def _check_timeouts_periodically(self) -> None:
         while True:
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_TIMEOUT_CHECK_INTERVAL_S)
             self.check_timeouts()
 
     def check_timeouts(self) -> None:
-        """Ends connections that are idle or slow for too long."""
+        """Closes connections that exceed their idle or request time-out."""
         now_s = asyncio.get_running_loop().time()
         for connection in list(self.connections):
             connection.check_timeouts(now_s)
 
     @property
     def in_flight(self) -> int:
-        """Requests without a written answer."""
+        """Number of requests whose response is not fully written."""
         return sum(len(item.exchanges) for item in self.connections)
 
     def accept(self, connection: HttpConnection) -> bool:
-        """Takes a new connection; returns whether there is room for it."""
+        """Registers a new connection; returns False above the limit."""
         if len(self.connections) >= _MAX_CONNECTIONS:
             self.rejected_connections += 1
             return False
@@ -104,29 +112,32 @@
         return True
 
     def drain(self) -> None:
-        """Ends idle connections now and the others after their answers."""
+        """Closes idle connections now and others after their responses."""
         self.draining = True
         for connection in list(self.connections):
             connection.close_if_idle()
 
     async def stop(self) -> None:
-        """Stops listening; finishes the requests under way within a bound."""
+        """Stops listening and waits `stop_timeout_ms` for requests in flight.
+
+        Requests that are still in flight then are ended with an error.
+        """
         if self.server is not None:
             self.server.close()
         self.drain()
         if self.sweeper is not None:
             self.sweeper.cancel()
             await asyncio.gather(self.sweeper, return_exceptions=True)
-        await self._wait_ended(self.stop_timeout_ms)
+        await self._wait_until_closed(self.stop_timeout_ms)
         for connection in list(self.connections):
             connection.fail_pending()
-        await self._wait_ended(_LAST_WRITE_MS)
+        await self._wait_until_closed(_FINAL_WRITE_TIMEOUT_MS)
         for connection in list(self.connections):
             connection.abort()
 
-    async def _wait_ended(self, timeout_ms: int) -> None:
+    async def _wait_until_closed(self, timeout_ms: int) -> None:
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + timeout_ms / _MS_PER_S
-        while self.connections and loop.time() < until_s:
+        deadline_s = loop.time() + timeout_ms / _MS_PER_S
+        while self.connections and loop.time() < deadline_s:
             await asyncio.sleep(0.01)
             self.drain()
--- a/packages/pomelobank-node/src/pomelobank_node/callers/tests/test_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""Callers' connections: order, limits, and ends at the wrong moment."""
+"""Callers' connections: response order, limits, disconnects and stops."""
 
 import asyncio
 import re
@@ -16,7 +16,7 @@
 )
 from pomelobank_schema import parse_address
 
-GUARD_S = 20
+TEST_TIMEOUT_S = 20
 LIMITS = HttpLimits(
     head_bytes=2000,
     body_bytes=200_000,
@@ -27,44 +27,44 @@
 SECOND = b"GET /second HTTP/1.1\r\nhost: shop\r\n\r\n"
 
 
-class Gate:
-    """Answers each path once the test lets it."""
+class HeldHandler:
+    """Handler that responds to a path once the test releases the path."""
 
     def __init__(self) -> None:
         self.arrived: list[bytes] = []
         self.cancelled: list[bytes] = []
         self.bodies: list[bytes] = []
-        self.open: dict[bytes, asyncio.Event] = {}
-        self.news = asyncio.Event()
+        self.release_events: dict[bytes, asyncio.Event] = {}
+        self.changed = asyncio.Event()
 
-    def gate(self, path: bytes) -> asyncio.Event:
-        return self.open.setdefault(path, asyncio.Event())
+    def release_event(self, path: bytes) -> asyncio.Event:
+        return self.release_events.setdefault(path, asyncio.Event())
 
     async def __call__(self, request: HttpRequest) -> HttpResponse:
         self.arrived.append(request.target)
-        self.news.set()
+        self.changed.set()
         try:
-            await self.gate(request.target).wait()
+            await self.release_event(request.target).wait()
         except asyncio.CancelledError:
             self.cancelled.append(request.target)
-            self.news.set()
+            self.changed.set()
             raise
         body = request.body
         if request.rest is not None:
-            while part := await request.rest.read():
-                body += part
+            while chunk := await request.rest.read():
+                body += chunk
         self.bodies.append(body)
         return HttpResponse(200, [(b"x-path", request.target)], request.target)
 
-    async def until(self, paths: list[bytes], seen: list[bytes]) -> None:
-        async with asyncio.timeout(GUARD_S):
-            while seen != paths:
-                await self.news.wait()
-                self.news.clear()
+    async def wait_for(self, paths: list[bytes], recorded: list[bytes]) -> None:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while recorded != paths:
+                await self.changed.wait()
+                self.changed.clear()
 
 
 @asynccontextmanager
-async def served(handler: Gate) -> AsyncIterator[CallerServer]:
+async def running_server(handler: HeldHandler) -> AsyncIterator[CallerServer]:
     server = CallerServer("127.0.0.1:0", handler, limits=LIMITS)
     await server.start()
     try:
@@ -80,8 +80,10 @@
     return await asyncio.open_connection(host, port)
 
 
-async def answer(reader: asyncio.StreamReader) -> tuple[int, bytes, bytes]:
-    async with asyncio.timeout(GUARD_S):
+async def read_response(
+    reader: asyncio.StreamReader,
+) -> tuple[int, bytes, bytes]:
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         head = await reader.readuntil(b"\r\n\r\n")
         status = int(head.split(b" ", 2)[1])
         length = 0
@@ -91,36 +93,40 @@
         return status, head, await reader.readexactly(length)
 
 
-async def test_pipelined_requests_run_together_and_answer_in_order() -> None:
-    """A caller sends its next look-up before the first is answered.
+async def test_pipelined_requests_run_concurrently_and_respond_in_order() -> (
+    None
+):
+    """Guards against responses in the order of completion.
 
-    The second is done sooner. Answered in the order of their ends, the caller
-    would take the second answer for the first.
+    A caller pipelines two look-ups and the second completes first. If its
+    response were written first, the caller would match that response with the
+    first look-up.
     """
-    gate = Gate()
-    async with served(gate) as server:
+    handler = HeldHandler()
+    async with running_server(handler) as server:
         reader, writer = await connect(server)
         writer.write(FIRST + SECOND)
-        await gate.until([b"/first", b"/second"], gate.arrived)
-        gate.gate(b"/second").set()
-        gate.gate(b"/first").set()
-        assert (await answer(reader))[2] == b"/first"
-        assert (await answer(reader))[2] == b"/second"
+        await handler.wait_for([b"/first", b"/second"], handler.arrived)
+        handler.release_event(b"/second").set()
+        handler.release_event(b"/first").set()
+        assert (await read_response(reader))[2] == b"/first"
+        assert (await read_response(reader))[2] == b"/second"
         writer.close()
 
 
-async def test_a_caller_that_goes_cancels_what_it_asked_for() -> None:
-    """A caller closes its connection while its request is under way.
+async def test_disconnect_of_a_caller_cancels_its_request() -> None:
+    """Guards against requests that outlive their caller's connection.
 
-    Went the request on, a target would work for nobody.
+    A caller disconnects while its request is in flight. If the request were
+    not cancelled, a target would compute a response that no caller reads.
     """
-    gate = Gate()
-    async with served(gate) as server:
+    handler = HeldHandler()
+    async with running_server(handler) as server:
         _, writer = await connect(server)
         writer.write(FIRST)
-        await gate.until([b"/first"], gate.arrived)
+        await handler.wait_for([b"/first"], handler.arrived)
         writer.close()
-        await gate.until([b"/first"], gate.cancelled)
+        await handler.wait_for([b"/first"], handler.cancelled)
 
 
 @pytest.mark.parametrize(
@@ -146,39 +152,42 @@
         pytest.param(b"GET /slow HTTP/1.1\r\nhos", 408, id="head never ends"),
     ],
 )
-async def test_what_breaks_a_limit_gets_one_answer_and_the_end(
+async def test_request_beyond_a_limit_gets_one_error_and_a_closed_connection(
     data: bytes, status: int
 ) -> None:
-    """A caller sends what the mesh does not take.
+    """Guards against parsing requests after a rejected request.
 
-    It is told once, and nothing behind it is read as a request.
+    A caller sends a request that is malformed or exceeds a limit. The caller
+    receives one error, the connection closes, and no handler is called.
     """
-    gate = Gate()
-    async with served(gate) as server:
+    handler = HeldHandler()
+    async with running_server(handler) as server:
         reader, writer = await connect(server)
         writer.write(data)
-        found, head, _ = await answer(reader)
+        found, head, _ = await read_response(reader)
         assert (found, b"connection: close" in head) == (status, True)
-        async with asyncio.timeout(GUARD_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await reader.read() == b""
         writer.close()
-    assert gate.arrived == []
+    assert handler.arrived == []
 
 
-async def test_a_bad_request_waits_behind_the_answers_before_it() -> None:
-    """A sound request is under way when the same caller sends rubbish.
+async def test_error_for_a_bad_request_follows_earlier_responses() -> None:
+    """Guards against an error that overtakes an earlier response.
 
-    Answered at once, the refusal would be taken for the sound one's answer.
+    A caller sends malformed bytes while its valid request is in flight. If the
+    error were written at once, the caller would take the error for the
+    response to the valid request.
     """
-    gate = Gate()
-    async with served(gate) as server:
+    handler = HeldHandler()
+    async with running_server(handler) as server:
         reader, writer = await connect(server)
         writer.write(FIRST)
-        await gate.until([b"/first"], gate.arrived)
+        await handler.wait_for([b"/first"], handler.arrived)
         writer.write(b"rubbish\r\n\r\n")
-        gate.gate(b"/first").set()
-        assert (await answer(reader))[0] == 200
-        assert (await answer(reader))[0] == 400
+        handler.release_event(b"/first").set()
+        assert (await read_response(reader))[0] == 200
+        assert (await read_response(reader))[0] == 400
         writer.close()
 
 
@@ -186,41 +195,45 @@
     "size", [pytest.param(10, id="short"), pytest.param(150_000, id="long")]
 )
 @pytest.mark.parametrize("chunked", [False, True], ids=["length", "chunks"])
-async def test_bodies_arrive_whole(size: int, chunked: bool) -> None:
+async def test_bodies_reach_the_handler_complete(
+    size: int, chunked: bool
+) -> None:
     body = bytes(index % 251 for index in range(size))
     head = b"POST /first HTTP/1.1\r\nhost: shop\r\n"
     if chunked:
         data = head + b"transfer-encoding: chunked\r\n\r\n"
         for at in range(0, size, 4000):
-            part = body[at : at + 4000]
-            data += b"%x\r\n%s\r\n" % (len(part), part)
+            chunk = body[at : at + 4000]
+            data += b"%x\r\n%s\r\n" % (len(chunk), chunk)
         data += b"0\r\n\r\n"
     else:
         data = head + b"content-length: %d\r\n\r\n" % size + body
-    gate = Gate()
-    gate.gate(b"/first").set()
-    async with served(gate) as server:
+    handler = HeldHandler()
+    handler.release_event(b"/first").set()
+    async with running_server(handler) as server:
         reader, writer = await connect(server)
         writer.write(data)
-        assert (await answer(reader))[0] == 200
+        assert (await read_response(reader))[0] == 200
         writer.close()
-    assert gate.bodies == [body]
+    assert handler.bodies == [body]
 
 
-async def test_a_ready_answer_leaves_before_a_stop_cuts_the_one_before_it() -> (
-    None
-):
-    """Guards against a ready answer lost behind a request that hangs."""
-    gate = Gate()
-    async with served(gate) as server:
+async def test_stop_writes_a_ready_response_behind_a_hanging_request() -> None:
+    """Guards against losing a ready response at a stop.
+
+    The response waits for an earlier request of its connection, and the stop
+    ends that request after its time-out.
+    """
+    handler = HeldHandler()
+    async with running_server(handler) as server:
         server.stop_timeout_ms = 50
         reader, writer = await asyncio.open_connection(
             *parse_address(server.address)
         )
         writer.write(FIRST + SECOND)
-        await gate.until([b"/first", b"/second"], gate.arrived)
-        gate.gate(b"/second").set()
-        async with asyncio.timeout(GUARD_S):
+        await handler.wait_for([b"/first", b"/second"], handler.arrived)
+        handler.release_event(b"/second").set()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await server.stop()
             received = await reader.read()
         writer.close()
@@ -229,67 +242,76 @@
     assert received.endswith(b"/second")
 
 
-class ClosingGate(Gate):
-    """Marks every answer as closing the connection."""
+class ClosingHandler(HeldHandler):
+    """Marks every response as closing the connection."""
 
     async def __call__(self, request: HttpRequest) -> HttpResponse:
         return attrs.evolve(await super().__call__(request), closes=True)
 
 
-async def test_a_closing_answer_does_not_drop_pipelined_requests() -> None:
-    """Guards against closing before later pipelined requests are answered."""
-    gate = ClosingGate()
-    async with served(gate) as server:
+async def test_closing_response_does_not_drop_pipelined_requests() -> None:
+    """Guards against dropping pipelined requests.
+
+    The response to the first of two requests requires the connection to close.
+    The connection must stay open until the second response is written.
+    """
+    handler = ClosingHandler()
+    async with running_server(handler) as server:
         reader, writer = await connect(server)
         writer.write(FIRST + SECOND)
-        await gate.until([b"/first", b"/second"], gate.arrived)
-        gate.gate(b"/second").set()
-        gate.gate(b"/first").set()
-        async with asyncio.timeout(GUARD_S):
+        await handler.wait_for([b"/first", b"/second"], handler.arrived)
+        handler.release_event(b"/second").set()
+        handler.release_event(b"/first").set()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             received = await reader.read()
         writer.close()
     assert re.findall(rb"x-path: (\S+)", received) == [b"/first", b"/second"]
     assert received.count(b"connection: close") == 1
-    assert gate.cancelled == []
+    assert handler.cancelled == []
 
 
-async def test_a_body_is_read_to_its_end_after_a_closing_answer() -> None:
-    """Guards against a hang when the last body ends after a closing answer."""
-    gate = ClosingGate()
+async def test_body_is_read_completely_after_a_closing_response() -> None:
+    """Guards against a hang when a body ends after a closing response.
+
+    The first response requires the connection to close while the body of the
+    second request is still being received.
+    """
+    handler = ClosingHandler()
     for path in (b"/first", b"/second"):
-        gate.gate(path).set()
-    async with served(gate) as server:
+        handler.release_event(path).set()
+    async with running_server(handler) as server:
         reader, writer = await connect(server)
         head = b"POST /second HTTP/1.1\r\nhost: shop\r\ncontent-length: 4\r\n"
         writer.write(FIRST + head + b"\r\nab")
-        async with asyncio.timeout(GUARD_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await reader.readuntil(b"/first\r\n")
             writer.write(b"cd")
             received = await reader.read()
         writer.close()
     assert received.endswith(b"/second")
-    assert gate.bodies == [b"", b"abcd"]
+    assert handler.bodies == [b"", b"abcd"]
 
 
-async def test_a_drain_ends_connections_after_their_answers() -> None:
-    """A node is told to stop with one caller idle and one being served.
+async def test_drain_closes_connections_after_their_responses() -> None:
+    """Guards against a drain that breaks off requests in flight.
 
-    The idle connection ends at once; the other ends after its answer, which
-    says so, and no request is cut off.
+    The server drains with one idle connection and one request in flight. The
+    idle connection closes at once; the other connection closes after its
+    response, which has the header `connection: close`.
     """
-    gate = Gate()
-    async with served(gate) as server:
+    handler = HeldHandler()
+    async with running_server(handler) as server:
         idle_reader, idle_writer = await connect(server)
         reader, writer = await connect(server)
         writer.write(FIRST)
-        await gate.until([b"/first"], gate.arrived)
+        await handler.wait_for([b"/first"], handler.arrived)
         server.drain()
-        async with asyncio.timeout(GUARD_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await idle_reader.read() == b""
-        gate.gate(b"/first").set()
-        status, head, _ = await answer(reader)
+        handler.release_event(b"/first").set()
+        status, head, _ = await read_response(reader)
         assert (status, b"connection: close" in head) == (200, True)
-        async with asyncio.timeout(GUARD_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await reader.read() == b""
         idle_writer.close()
         writer.close()
