--- a/packages/pomelobank-node/src/pomelobank_node/_http_conventions.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_http_conventions.py
@@ -1,4 +1,4 @@
-"""The headers by which callers, nodes and targets understand each other."""
+"""Headers that callers, nodes and targets exchange."""
 
 import attrs
 
@@ -7,31 +7,36 @@
 
 @attrs.frozen
 class HttpConventions:
-    """Names of headers, all in lower case; an empty name is not used.
+    """Names and formats of the headers that the node reads and writes.
 
-    The defaults are the product's own. A platform whose callers and targets
-    were there before the mesh has names of its own for the same things.
+    All names are in lower case; a header with an empty name is not used. The
+    defaults are the product's own names. A platform whose callers and targets
+    existed before the mesh replaces them by the names already in use there.
 
     Attributes:
-        service: Names the service where the host does not.
-        timeout: How many ms the caller waits; the target is told what is left.
-        request_id: Id that follows a request through every log.
-        zero_timeout_is_expired: Whether a time-out of nothing says that the
-            caller's time is up; elsewhere it is a mistake.
-        retry: Marks a request that is part of another's retry.
-        idempotency_key: The caller's key.
-        origin: Upstream of the instance that the request began on, as targets
-            are told it.
-        expected_instance: Start of the target that may run the request.
-        not_run: Marks a target's answer that says it has not run the request.
-        response_marker: Stands in every answer that a target's own work has
-            made; an answer of success without it is not the target's.
+        service: Names the service; takes precedence over the host header.
+        timeout: Time in ms that the caller waits for the response. The node
+            sends the remaining time to the target under the same name.
+        request_id: Id that the log lines of all nodes state for a request.
+        zero_timeout_is_expired: Whether a time-out below 1 ms means that the
+            caller's deadline has passed. Otherwise such a time-out is rejected
+            as a bad request.
+        retry: Marks a request that is sent as part of another request's retry.
+        idempotency_key: The caller's idempotency key.
+        origin: Upstream of the instance that the request came from; sent to
+            targets.
+        expected_instance: Identifies the instance that may run the request.
+        not_run: Marks a target's response to a request that it did not run.
+        response_marker: Present in every response that the target's own code
+            produced. A successful response without the marker did not come
+            from the target.
         echoes_request_id: Whether targets repeat the request's id in their
-            answers.
-        allows_close_delimited: Whether a target's answer may end with its
-            connection.
-        fractional_retry_after: Whether callers read fractions of a second.
-        stripped: Headers of callers that are not passed on.
+            responses.
+        allows_close_delimited: Whether the end of the connection may mark the
+            end of a target's response.
+        fractional_retry_after: Whether callers accept fractions of a second in
+            the Retry-After header.
+        stripped: Headers of callers that are not forwarded.
     """
 
     service: bytes = b"x-pomelobank-service"
@@ -50,9 +55,10 @@
     stripped: frozenset[bytes] = attrs.field(init=False)
 
     @stripped.default
-    def _not_passed_on(self) -> frozenset[bytes]:
-        # A caller that could set these would speak in the system's name.
-        own = {
+    def _default_stripped(self) -> frozenset[bytes]:
+        # The node sets these headers itself. If a caller's values were
+        # forwarded, a target would take them for the node's.
+        set_by_node = {
             self.service,
             self.timeout,
             self.request_id,
@@ -60,4 +66,4 @@
             self.expected_instance,
             CONTENT_LENGTH,
         }
-        return frozenset(own - {b""})
+        return frozenset(set_by_node - {b""})
--- a/packages/pomelobank-node/src/pomelobank_node/_http_messages.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_http_messages.py
@@ -1,13 +1,14 @@
-"""Bytes of HTTP/1.1 requests and the headers that travel on."""
+"""Encodes HTTP/1.1 requests and selects the headers to forward."""
 
 from pomelobank_node._requests import Headers
 
 CONTENT_LENGTH = b"content-length"
-# Name the kind of an error that the system itself answers with, and what is
-# known about whether the request ran.
+# Headers of an error response of the node: the kind of the error, and whether
+# the request ran.
 ERROR_HEADER = b"x-pomelobank-error"
 RUN_HEADER = b"x-pomelobank-run"
-# Answers with these statuses have no body, whatever their headers say.
+# Responses with these statuses have no body, even if their headers state a
+# length.
 NO_BODY_STATUSES = frozenset({204, 304})
 _HOP_BY_HOP = frozenset(
     {
@@ -23,15 +24,14 @@
         b"expect",
     }
 )
-# Options of a connection that name no header.
-_USUAL_OPTIONS = frozenset({b"keep-alive", b"close"})
+# Values of the connection header that are not names of further headers.
+_CONNECTION_OPTIONS = frozenset({b"keep-alive", b"close"})
 
 
 def end_to_end(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Returns the headers that travel on, without those of one connection.
+    """Returns the headers to forward, without hop-by-hop headers.
 
-    A connection header may name further ones that concern only its own
-    connection.
+    The connection header may name further headers that are hop-by-hop.
 
     >>> end_to_end([(b"te", b"trailers"), (b"accept", b"*/*")])
     [(b'accept', b'*/*')]
@@ -40,13 +40,13 @@
     """
     dropped = _HOP_BY_HOP
     named = find_header(headers, b"connection")
-    if named is not None and named.lower() not in _USUAL_OPTIONS:
+    if named is not None and named.lower() not in _CONNECTION_OPTIONS:
         dropped = dropped | {item.strip() for item in named.lower().split(b",")}
     return [item for item in headers if item[0] not in dropped]
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Returns the first value of a header, None where it is absent."""
+    """Returns the first value of a header; None if the header is absent."""
     for key, value in headers:
         if key == name:
             return value
@@ -54,7 +54,9 @@
 
 
 def content_length(headers: Headers) -> int | None:
-    """Returns the length that the headers state, None where they state none.
+    """Returns the value of the content-length header as a number.
+
+    Returns None if the header is absent or not a number.
 
     >>> content_length([(b"content-length", b"12")])
     12
@@ -77,13 +79,13 @@
     Args:
         method: HTTP method.
         target: Raw path with query.
-        headers: Headers; those of one connection are left out.
-        body: Whole body, or its first part.
-        more: Whether further parts follow. They are sent under the length
-            that the headers state, or in HTTP's chunks where they state none.
+        headers: Headers; hop-by-hop headers are omitted.
+        body: The whole body, or its first part.
+        more: Whether further parts follow. The body is sent with the
+            content-length of the headers, or chunked if they state none.
 
     Returns:
-        Head and body.
+        The encoded head and the given part of the body.
     """
     parts = [method.encode(), b" ", target, b" HTTP/1.1\r\n"]
     for name, value in headers:
@@ -101,7 +103,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    r"""Returns one chunk of HTTP's chunked encoding, nothing for no data.
+    r"""Returns data as one chunk of a chunked body; empty for empty data.
 
     >>> encode_chunk(b"abc")
     b'3\r\nabc\r\n'
--- a/packages/pomelobank-node/src/pomelobank_node/_http_protocol.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_http_protocol.py
@@ -1,4 +1,4 @@
-"""Uvicorn's HTTP/1.1 connection with the habits that a mesh needs."""
+"""Uvicorn's HTTP/1.1 protocol with head limits and fewer writes."""
 
 import asyncio
 from typing import Any
@@ -15,7 +15,8 @@
 from pomelobank_node.callers import error_response
 from pomelobank_node.callers._messages import encode_response
 
-# Larger heads are mistakes or attacks; common servers stop at 8 to 64 KiB.
+# Common servers reject heads above 8 to 64 KiB; larger heads are errors of the
+# caller or attacks.
 MAX_HEAD_BYTES = 64 * 1024
 MAX_HEADERS = 128
 _STATUS_LINE = b"HTTP/1.1 "
@@ -23,11 +24,11 @@
 _HEAD_END = b"\r\n\r\n"
 
 
-class _JoiningTransport:
-    """Sends the head of an answer together with the first part of its body.
+class _CoalescingTransport:
+    """Sends the head of a response together with the first part of its body.
 
-    Uvicorn writes them one after the other. On its own each write is a system
-    call and a packet, and the caller wakes up twice for one answer.
+    Uvicorn writes the head and the body separately. Each write costs a system
+    call and a packet, and wakes up the caller once more.
     """
 
     __slots__ = ("head", "inner")
@@ -37,7 +38,7 @@
         self.head = b""
 
     def write(self, data: bytes) -> None:
-        """Writes, or holds a head back until the body's first part."""
+        """Writes data; delays a head until the first part of the body."""
         if self.head:
             data = self.head + data
             self.head = b""
@@ -51,13 +52,13 @@
         self.inner.write(data)
 
     def flush(self) -> None:
-        """Writes a head that has no body."""
+        """Writes a delayed head whose response has no body."""
         if self.head:
             head, self.head = self.head, b""
             self.inner.write(head)
 
     def close(self) -> None:
-        """Closes after what was written is sent."""
+        """Closes the transport after sending all written data."""
         self.flush()
         self.inner.close()
 
@@ -66,27 +67,28 @@
 
 
 class HttpProtocol(HttpToolsProtocol):
-    """One caller's connection.
+    """One connection to a server of the node.
 
     Attributes:
-        joining: The connection's transport, which joins head and body.
-        request_task: The task of the request under way.
-        head_bytes: Bytes of a head that is not complete.
-        in_head: Whether a head is not complete.
+        joining: The connection's transport, which sends a response's head
+            together with its body.
+        request_task: The task of the request in flight.
+        head_bytes: Bytes of the head that is being received.
+        in_head: Whether a head is being received.
     """
 
     def connection_made(  # type: ignore[override]
         self, transport: asyncio.Transport
     ) -> None:
-        """Takes the connection."""
-        self.joining = _JoiningTransport(transport)
+        """Wraps the transport of a new connection."""
+        self.joining = _CoalescingTransport(transport)
         self.request_task: asyncio.Task[None] | None = None
         self.head_bytes = 0
         self.in_head = False
         super().connection_made(self.joining)  # type: ignore[arg-type]
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of a caller."""
+        """Parses received bytes; rejects a head that is too large."""
         super().data_received(data)
         if self.in_head:
             self.head_bytes += len(data)
@@ -94,28 +96,29 @@
                 self.send_400_response("")
 
     def on_message_begin(self) -> None:
-        """Begins to count the bytes of a head."""
+        """Starts to count the bytes of a head."""
         self.in_head = True
         self.head_bytes = 0
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """Starts the request, unless its head is too large."""
+        """Starts the request, or rejects a head with too many headers."""
         self.in_head = False
         if len(self.headers) > MAX_HEADERS:
             raise httptools.HttpParserError("too many headers")
         super().on_headers_complete()
 
     def on_response_complete(self) -> None:
-        """Sends what was held back."""
+        """Sends a delayed head."""
         self.joining.flush()
         super().on_response_complete()
 
     def send_400_response(self, msg: str) -> None:
-        """Answers what is not HTTP with the system's own error."""
+        """Responds to malformed HTTP with the node's own error format."""
         cycle = self.cycle
         if cycle is not None and not cycle.response_complete:
-            # The answer would be taken for that of the request under way.
+            # The caller would take the error for the response to the request
+            # in flight.
             self.transport.close()
             return
         if not self.transport.is_closing():
@@ -130,13 +133,14 @@
 
 
 class CancellingHttpProtocol(HttpProtocol):
-    """A caller's connection whose end cancels the request under way."""
+    """A connection whose loss cancels the request in flight."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancels the request of a caller that has gone.
+        """Cancels the request of a caller that has disconnected.
 
-        Without this a target would go on working for nobody, most of all in
-        an overload, when callers give up and try again.
+        Without the cancellation a target would spend its slots on responses
+        that no caller reads, most of all under overload, when callers time out
+        and retry.
         """
         super().connection_lost(exc)
         task = self.request_task
@@ -146,5 +150,5 @@
 
 def _bad_request() -> bytes:
     error = RequestError(ErrorKind.BAD_REQUEST)
-    answer = error_response(error, HttpConventions(), closes=True)
-    return encode_response(answer, head_only=False, closes=True)
+    response = error_response(error, HttpConventions(), closes=True)
+    return encode_response(response, head_only=False, closes=True)
--- a/packages/pomelobank-node/src/pomelobank_node/_http_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_http_server.py
@@ -1,4 +1,4 @@
-"""Runs an ASGI application under uvicorn as a part of the node."""
+"""Runs an ASGI application under uvicorn inside the node's process."""
 
 import asyncio
 import contextlib
@@ -12,15 +12,15 @@
 from pomelobank_schema import parse_address
 
 _STOP_POLL_S = 0.05
-_BACKLOG = 512
+_LISTEN_BACKLOG = 512
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves the process's signals alone."""
+    """A uvicorn server that installs no signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Captures nothing; the application handles signals."""
+        """Does nothing; the node's application handles signals."""
         yield
 
 
@@ -29,11 +29,13 @@
     """Serves one ASGI application.
 
     Attributes:
-        listen: Address to listen on; port 0 takes a free one.
+        listen: Address to listen on; port 0 selects a free port.
         application: The ASGI application.
-        address: Address that is really used, once it listens.
-        cancel_on_disconnect: Whether a request is cancelled when its caller has
-            gone.
+        address: Address that the server is bound to, once it listens.
+        cancel_on_disconnect: Whether a request is cancelled when its caller
+            disconnects.
+        server: The uvicorn server; None before the start.
+        task: Task that runs the uvicorn server; None before the start.
     """
 
     listen: str
@@ -44,7 +46,11 @@
     task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Starts listening and returns once callers can connect."""
+        """Starts listening; returns once callers can connect.
+
+        Raises:
+            OSError: If the server ended before it listened.
+        """
         host, port = parse_address(self.listen)
         config = uvicorn.Config(
             self.application,
@@ -61,7 +67,7 @@
             server_header=False,
             date_header=False,
             proxy_headers=False,
-            backlog=_BACKLOG,
+            backlog=_LISTEN_BACKLOG,
         )
         self.server = _Server(config)
         self.task = asyncio.create_task(self.server.serve())
@@ -73,17 +79,18 @@
         self.address = f"{bound[0]}:{bound[1]}"
 
     async def stop(self) -> None:
-        """Finishes the requests under way and stops listening."""
+        """Stops listening and waits for the requests in flight."""
         if self.server is not None and self.task is not None:
             self.server.should_exit = True
             while not self.task.done():
-                self._end_connections()
+                self._shut_down_connections()
                 await asyncio.wait({self.task}, timeout=_STOP_POLL_S)
 
-    def _end_connections(self) -> None:
-        # Uvicorn tells its connections to end once. One whose accept was under
-        # way at that moment is never told, stays open for as long as its
-        # caller likes, and the node does not end; so they are told again.
+    def _shut_down_connections(self) -> None:
+        # Uvicorn shuts its connections down only once. A connection that is
+        # accepted during that pass is missed and stays open until its caller
+        # closes it, which keeps the node from stopping. The shutdown is
+        # therefore repeated until the server has ended.
         assert self.server is not None
         for connection in list(self.server.server_state.connections):
             connection.shutdown()
--- a/packages/pomelobank-node/src/pomelobank_node/_requests.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_requests.py
@@ -1,4 +1,4 @@
-"""How a request ends: an upstream's answer or an error of the system."""
+"""Errors that end a request, and their form in replies between nodes."""
 
 from collections.abc import Sequence
 
@@ -12,11 +12,12 @@
 
 @attrs.frozen
 class RequestError(Exception):
-    """A request that the system itself ended.
+    """Reports that the node, not the target, ended a request.
 
     Attributes:
-        kind: Why, out of the closed list.
-        retry_after_ms: When to come back; None for the kind's usual time.
+        kind: Kind of the error.
+        retry_after_ms: Time after which the caller may retry; None for the
+            default of the kind.
     """
 
     kind: ErrorKind
@@ -24,7 +25,7 @@
 
 
 def error_reply(request_id: int, error: RequestError) -> ForwardReply:
-    """Returns the frame that reports an error to the entry node."""
+    """Returns the reply that reports an error to the entry node."""
     retry_after_ms = error.retry_after_ms
     if retry_after_ms is None:
         retry_after_ms = ERROR_RESPONSES[error.kind].retry_after_ms
@@ -36,7 +37,7 @@
 
 
 def reply_error(reply: ForwardReply) -> RequestError | None:
-    """Returns the error that a reply reports, None where it is an answer."""
+    """Returns the error that a reply reports; None for a response."""
     if not reply.error:
         return None
     try:
--- a/packages/pomelobank-node/src/pomelobank_node/_tracing.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_tracing.py
@@ -1,4 +1,4 @@
-"""What is remembered of a request for the one line that explains it."""
+"""Collects the data for the log line of a request."""
 
 import contextvars
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen
 class AttemptTrace:
-    """One try at a target.
+    """One attempt to run a request on a target.
 
     Attributes:
         node: Node beside the target.
-        incarnation: Start of that node, as this node knew it.
-        outcome: Status of the answer, or the kind of the error.
-        took_ms: Time from sending to the outcome.
+        incarnation: Incarnation of that node in this node's member table.
+        outcome: Status of the response, or the kind of the error.
+        took_ms: Time from sending the request to the outcome.
     """
 
     node: str
@@ -27,14 +27,14 @@
 
 @attrs.define(eq=False)
 class RequestTrace:
-    """How a request went.
+    """Routing decision and attempts of one request.
 
     Attributes:
-        route: Route that it matched.
-        version: Configuration version that it was routed by.
-        upstream: Upstream that the weights chose.
-        deadline_ms: Time that it had.
-        attempts: What became of it at each target.
+        route: Route that the request matched.
+        version: Configuration version that the request was routed with.
+        upstream: Upstream that the route's weights selected.
+        deadline_ms: Time that the request had until its deadline.
+        attempts: Attempts, in order of their outcomes.
     """
 
     route: str = ""
@@ -50,15 +50,15 @@
 
 
 def begin_trace() -> RequestTrace:
-    """Returns the trace of a request that has just come."""
+    """Creates the trace of a new request and makes it the current trace."""
     trace = RequestTrace()
     _current.set(trace)
     return trace
 
 
 def current_trace() -> RequestTrace:
-    """Returns the trace of the request under way.
+    """Returns the trace of the request that the current task handles.
 
-    Work that no caller asked for gets one that nobody reads.
+    Outside of a request the function returns a new trace, which is discarded.
     """
     return _current.get() or RequestTrace()
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_http_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_http_server.py
@@ -1,45 +1,45 @@
-"""A server that stops, and connections that come at the wrong moment."""
+"""Stop of the ASGI server while a connection is being accepted."""
 
 import asyncio
 from typing import Any
 
 from pomelobank_node import HttpServer
 
-GUARD_S = 20
+TEST_TIMEOUT_S = 20
 
 
-class LateConnection:
-    """A connection whose accept was under way when the stop began.
+class MissedConnection:
+    """A connection that is accepted while the stop begins.
 
-    The server's one pass over its connections does not see it.
+    The connection ignores the first shutdown, as if uvicorn's single pass over
+    its connections had missed it.
     """
 
     def __init__(self, server: HttpServer) -> None:
         assert server.server is not None
         self.connections: set[Any] = server.server.server_state.connections
         self.connections.add(self)
-        self.passes = 0
+        self.shutdowns = 0
 
     def shutdown(self) -> None:
-        self.passes += 1
-        if self.passes > 1:
+        self.shutdowns += 1
+        if self.shutdowns > 1:
             self.connections.discard(self)
 
 
 async def application(scope: Any, receive: Any, send: Any) -> None:
-    """Answers nothing; no request is sent."""
+    """Does nothing; the test sends no request."""
 
 
-async def test_a_connection_that_comes_during_a_stop_does_not_hold_it_up() -> (
-    None
-):
-    """A caller connects in the moment in which its node is told to stop.
+async def test_connection_accepted_during_a_stop_does_not_delay_it() -> None:
+    """Guards against a stop that waits for a connection missed by uvicorn.
 
-    The connection stays idle and nobody closes it: the node waits for it and
-    does not end before the platform kills it, requests in flight or not.
+    A caller connects just as its node begins to stop, and keeps the connection
+    idle and open. A node that waits for this connection does not end until the
+    platform kills it, together with any requests in flight.
     """
     server = HttpServer("127.0.0.1:0", application)
     await server.start()
-    LateConnection(server)
-    async with asyncio.timeout(GUARD_S):
+    MissedConnection(server)
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         await server.stop()
