--- a/packages/pomelobank-node/src/pomelobank_node/_claims.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims.py
@@ -1,4 +1,4 @@
-"""Takes requests with an idempotency key to the node that claims the key."""
+"""Forwards requests with an idempotency key to the node that claims it."""
 
 import asyncio
 import itertools
@@ -37,18 +37,19 @@
 from pomelobank_schema.generated.settings import ClaimSettings
 
 _MS_PER_S = 1000
-# A shard without requests for a minute is read no further, so that the log
-# is not polled for keys that nobody sends.
+# Time without requests after which the node stops reading a shard's stream, so
+# that idle shards cause no polls of the log.
 SHARD_IDLE_MS = 60_000
 _IDLE_CHECK_S = 5.0
 _DRAIN_POLL_S = 0.01
-_FLUSH_MS = 2000
-# The claiming node answers at the deadline itself; the entry waits a little
-# longer, so that its better answer is not cut off.
-_GRACE_MS = 100
-# Two nodes at most are asked: the second covers a node that has just died.
+_FLUSH_TIMEOUT_MS = 2000
+# The claiming node replies at the request's deadline. The entry node waits this
+# much longer, since that reply is more precise than the entry's own time-out.
+_REPLY_GRACE_MS = 100
+# Nodes that the entry node tries for one request. The second node replaces a
+# first node that has just failed.
 _MAX_CLAIMANTS = 2
-_ELSEWHERE = frozenset(
+_RETRIED_ON_SECOND_NODE = frozenset(
     {
         ErrorKind.PEER_UNREACHABLE,
         ErrorKind.PEER_LOST,
@@ -59,20 +60,23 @@
 
 @attrs.define(eq=False)
 class ClaimService:
-    """Claims keys of its shards and forwards those of others.
+    """Claims keys of this node's shards and forwards requests of other shards.
 
     Attributes:
-        members: Who can claim.
+        members: Member table, from which claiming nodes are chosen.
         links: Streams to peers.
-        log: The log's client.
-        clock: Tells the time.
-        settings: Limits.
+        log: Client of the log.
+        clock: The node's clock.
+        settings: Limits and time-outs of claims.
         dispatch: Runs a claimed request on a target.
-        writer: Name under which this start of the node writes.
-        responses: Answers kept for resends.
-        workers: Shards that are read, by number.
+        writer: Name of this process in claim records.
+        responses: Responses stored for resent requests.
+        workers: Workers of the shards whose streams are read, by shard number.
+        claim_numbers: Source of claim numbers.
         forwarded: Requests sent to another claiming node, for the metrics.
         sent_twice: Requests sent to a second claiming node, for the metrics.
+        draining: Whether new requests are rejected because the node stops.
+        task: Task that stops idle workers.
     """
 
     members: MemberTable
@@ -95,27 +99,30 @@
     def __attrs_post_init__(self) -> None:
         self.responses = ResponseStore(self.settings.answer_bytes)
         if not self.writer:
-            # Random, not a time: a node that restarts with a clock that went
-            # back would otherwise write under the name of its former start.
+            # The suffix is random. A start time could repeat when a node
+            # restarts after its clock was set back, and the node would write
+            # under the name of its earlier process.
             node = self.members.own.node
             self.writer = f"{node}/{secrets.token_hex(8)}"
 
     @property
     def keys(self) -> int:
-        """Keys that are remembered on this node, for the metrics."""
+        """Claimed keys in this node's claim tables, for the metrics."""
         return sum(len(item.table.claims) for item in self.workers.values())
 
     @property
     def rejected(self) -> int:
-        """Claims refused for want of budget or log, for the metrics."""
+        """Claims rejected due to the append budget or the log, for metrics."""
         return sum(item.batcher.rejected for item in self.workers.values())
 
     async def start(self) -> None:
-        """Starts looking for idle shards."""
-        self.task = asyncio.create_task(self._retire_idle(), name="claims")
+        """Starts the periodic check for idle shards."""
+        self.task = asyncio.create_task(
+            self._stop_idle_workers(), name="claims"
+        )
 
     async def stop(self) -> None:
-        """Ends every shard."""
+        """Stops the workers of all shards."""
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
@@ -123,56 +130,60 @@
             await worker.stop()
 
     async def drain(self, timeout_ms: int) -> None:
-        """Takes no new key, ends what is under way and writes its outcome.
+        """Rejects new keys, finishes running requests, appends their outcomes.
 
         Args:
-            timeout_ms: Longest wait for requests under way.
+            timeout_ms: Maximum wait for running requests.
         """
         self.draining = True
-        await self._until(timeout_ms, lambda worker: not worker.running)
-        # What cannot be written during an outage of the log costs a resend
-        # its answer, not its claim; it is not worth a stop of minutes.
-        await self._until(
-            min(timeout_ms, _FLUSH_MS), lambda worker: worker.idle
+        await self._wait_until(timeout_ms, lambda worker: not worker.running)
+        # If an outage of the log prevents the append of an outcome, a resent
+        # request gets no stored response, but its key stays claimed. This loss
+        # does not justify a stop that takes minutes.
+        await self._wait_until(
+            min(timeout_ms, _FLUSH_TIMEOUT_MS), lambda worker: worker.idle
         )
 
-    async def _until(
+    async def _wait_until(
         self, timeout_ms: int, ready: Callable[[ShardWorker], bool]
     ) -> None:
-        until_ms = self.clock.now_ms() + timeout_ms
-        while self.clock.now_ms() < until_ms:
+        end_ms = self.clock.now_ms() + timeout_ms
+        while self.clock.now_ms() < end_ms:
             if all(ready(worker) for worker in self.workers.values()):
                 return
             await asyncio.sleep(_DRAIN_POLL_S)
 
-    async def _retire_idle(self) -> None:
+    async def _stop_idle_workers(self) -> None:
         while True:
             await asyncio.sleep(_IDLE_CHECK_S)
-            before_ms = self.clock.now_ms() - SHARD_IDLE_MS
+            idle_since_ms = self.clock.now_ms() - SHARD_IDLE_MS
             for shard, worker in list(self.workers.items()):
-                if worker.idle and worker.last_used_ms < before_ms:
+                if worker.idle and worker.last_used_ms < idle_since_ms:
                     del self.workers[shard]
                     await worker.stop()
 
     async def run_once(self, request: ForwardRequest) -> ForwardReply:
-        """Answers a caller's keyed request.
+        """Returns the reply to a caller's keyed request.
+
+        The entry node sends the request to a claiming node, which may be the
+        entry node itself.
 
         Args:
-            request: The request, its key scoped and no upstream chosen.
+            request: The request, with a scoped key and without an upstream.
 
         Returns:
-            The target's answer, or the error that ended the request.
+            The target's response, or the error that ended the request.
         """
         deadline_ms = self.clock.now_ms() + request.remaining_ms
         shard = shard_of(claim_key(request.idempotency_key))
         first: ForwardReply | None = None
         for node in self._claimants(shard):
-            reply = await self._ask(node, request, deadline_ms)
+            reply = await self._send_to(node, request, deadline_ms)
             if first is not None:
                 self.sent_twice += 1
                 reply = _combine(first, reply)
             error = reply_error(reply)
-            if error is None or error.kind not in _ELSEWHERE:
+            if error is None or error.kind not in _RETRIED_ON_SECOND_NODE:
                 return reply
             first = reply
         assert first is not None
@@ -187,7 +198,7 @@
         ranked = rank_claimants(shard, ready)[:_MAX_CLAIMANTS]
         return ranked or [self.members.own.node]
 
-    async def _ask(
+    async def _send_to(
         self, node: str, request: ForwardRequest, deadline_ms: int
     ) -> ForwardReply:
         left_ms = deadline_ms - self.clock.now_ms()
@@ -201,30 +212,31 @@
         self.forwarded += 1
         address = self.members.others[node].peer_address
         try:
-            async with asyncio.timeout((left_ms + _GRACE_MS) / _MS_PER_S):
+            async with asyncio.timeout((left_ms + _REPLY_GRACE_MS) / _MS_PER_S):
                 return await self.links.to(address).forward(request)
         except TimeoutError:
             return error_reply(0, RequestError(ErrorKind.DEADLINE_UNKNOWN))
 
     async def serve(self, request: ForwardRequest) -> ForwardReply:
-        """Claims the key of a request and runs it, wherever it came in.
+        """Claims the key of a request on this node and runs the request.
 
         Args:
-            request: The request, its key scoped and no upstream chosen.
+            request: The request of this entry node or of a peer, with a scoped
+                key and without an upstream.
 
         Returns:
-            The target's answer, or the error that ended the request.
+            The target's response, or the error that ended the request.
         """
         try:
             if self.draining:
                 raise RequestError(ErrorKind.DRAINING)
-            keyed = self._keyed(request)
-            reply = await self._worker(keyed).serve(keyed)
+            keyed = self._keyed_request(request)
+            reply = await self._worker_for(keyed).serve(keyed)
         except RequestError as error:
             return error_reply(request.request_id, error)
         return attrs.evolve(reply, request_id=request.request_id)
 
-    def _keyed(self, request: ForwardRequest) -> KeyedRequest:
+    def _keyed_request(self, request: ForwardRequest) -> KeyedRequest:
         return KeyedRequest(
             key=claim_key(request.idempotency_key),
             digest=request_digest(request.method, request.target, request.body),
@@ -232,7 +244,7 @@
             deadline_ms=self.clock.now_ms() + request.remaining_ms,
         )
 
-    def _worker(self, keyed: KeyedRequest) -> ShardWorker:
+    def _worker_for(self, keyed: KeyedRequest) -> ShardWorker:
         shard = shard_of(keyed.key)
         worker = self.workers.get(shard)
         if worker is None:
@@ -253,8 +265,8 @@
 
 
 def _combine(first: ForwardReply, second: ForwardReply) -> ForwardReply:
-    # The second node refused the request as not run, but the first one may
-    # still hold a copy of it and run it when it wakes.
+    # Even if the second node rejected the request as not run, a paused first
+    # node may still hold a copy of the request and run the copy on resuming.
     earlier, later = _run_state(first), _run_state(second)
     if combine_run_states(earlier, later) is later:
         return second
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_reader.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_reader.py
@@ -1,4 +1,4 @@
-"""Reads the stream of one shard of claims on."""
+"""Follows the claim stream of one shard."""
 
 import asyncio
 import logging
@@ -16,41 +16,42 @@
 
 _MS_PER_S = 1000
 _KINDS: dict[int, type[WireMessage]] = {ClaimBatch.KIND: ClaimBatch}
-# 200 full batches are some 2 MB in one answer of the log.
-_PAGE_LIMIT = 200
+# Records of one read; 200 full batches make a response of about 2 MB.
+_PAGE_RECORDS = 200
 _FIRST_RETRY_MS = 50
 _MAX_RETRY_MS = 2000
 
 
 class ClaimListener(Protocol):
-    """Hears what the stream says."""
+    """Receives the events of a claim stream."""
 
     def on_claim_seen(self, event: ClaimSeen) -> None:
-        """Takes a claim that was read."""
+        """Handles a claim that was read from the stream."""
 
     def on_claim_ended(self, event: ClaimEnded) -> None:
-        """Takes the end of a claim that was read."""
+        """Handles the release or completion of a claim."""
 
     def on_batch_written(self, batch: ClaimBatch) -> None:
-        """Takes a batch after its events."""
+        """Handles a batch, after the events of the batch."""
 
     def on_history_lost(self) -> None:
-        """Records were trimmed before they were read."""
+        """Handles the trimming of records that were not read yet."""
 
 
 @attrs.define(eq=False)
 class ClaimReader:
-    """Keeps the state of a shard's stream up to date.
+    """Applies a shard's stream to its claim table.
 
     Attributes:
-        stream: The shard's stream.
-        log: The log's client.
-        clock: Tells the time.
-        table: The stream's state.
-        listener: Hears what was read.
-        caught_up: Set while the end of the stream was read.
-        changed: Replaced and set whenever records were read.
-        blocked: Set when the stream holds a record that cannot be read.
+        stream: Name of the shard's stream.
+        log: Client of the log.
+        clock: The node's clock.
+        table: Claims that result from the records read.
+        listener: Receives the events.
+        caught_up: Set once the reader has reached the end of the stream;
+            cleared when unread records were trimmed.
+        changed: Set and replaced by a new event whenever records were read.
+        blocked: Whether the next record of the stream cannot be decoded.
         failing: Whether the last read failed.
     """
 
@@ -65,7 +66,7 @@
     failing: bool = False
 
     async def run(self) -> None:
-        """Reads until it is cancelled."""
+        """Reads the stream until the task is cancelled."""
         retry_ms = _FIRST_RETRY_MS
         while True:
             try:
@@ -74,19 +75,20 @@
                 retry_ms = _FIRST_RETRY_MS
             except LogError as error:
                 if error.kind is LogErrorKind.TRIMMED:
-                    self._restart(error.first_offset)
+                    self._reset(error.first_offset)
                     continue
                 self.failing = True
-                # Full jitter, so that the readers of all shards do not meet
-                # the log together when it comes back.
-                pause_ms = random.uniform(0, retry_ms)
-                await asyncio.sleep(pause_ms / _MS_PER_S)
+                # Full jitter: without it the readers of all shards would retry
+                # together when the log recovers (thundering herd).
+                jittered_ms = random.uniform(0, retry_ms)
+                await asyncio.sleep(jittered_ms / _MS_PER_S)
                 retry_ms = min(2 * retry_ms, _MAX_RETRY_MS)
 
-    def _restart(self, first_offset: int) -> None:
-        # The trimmed records may hold an earlier claim of a key that is just
-        # being claimed: read without them, the later claim would seem to win
-        # and its request run a second time. So no pending claim may run.
+    def _reset(self, first_offset: int) -> None:
+        # The trimmed records may contain an earlier claim of a key whose claim
+        # is pending here. Without these records the later claim would seem to
+        # win and its request would run a second time, so pending claims are
+        # abandoned.
         self.listener.on_history_lost()
         self.table.reset(first_offset, self.clock.wall_ms())
         self.caught_up.clear()
@@ -95,7 +97,7 @@
     async def _read_once(self) -> None:
         wait_ms = self.log.long_poll_ms if self.caught_up.is_set() else 0
         page = await self.log.read(
-            self.stream, self.table.next_offset, _PAGE_LIMIT, wait_ms
+            self.stream, self.table.next_offset, _PAGE_RECORDS, wait_ms
         )
         for index, data in enumerate(page.records):
             self._apply(page.first_offset + index, data)
@@ -112,8 +114,9 @@
         try:
             batch = decode(data, _KINDS)
         except SchemaError as error:
-            # Skipping what cannot be read could skip a claim, and its request
-            # would run again; the shard takes no new key instead.
+            # If this record were skipped and contained a claim, the request of
+            # that claim could run a second time. The shard therefore accepts
+            # no new key until the record can be decoded.
             self.blocked = True
             _logger.error(
                 "claims.unreadable_record",
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
@@ -1,4 +1,4 @@
-"""Claims the keys of one shard and runs their requests."""
+"""Claims the idempotency keys of one shard and runs their requests."""
 
 import asyncio
 import logging
@@ -55,39 +55,45 @@
 DispatchFunction = Callable[[ForwardRequest], Awaitable[ForwardReply]]
 
 _MS_PER_S = 1000
-# An acknowledgement of an order with its headers fits; a report does not, and
-# at 100 keyed requests a second the answers add at most 100 KB/s to the log.
+# Largest response that is stored in the log. The acknowledgement of an order
+# with its headers fits, a report does not. At 100 keyed requests a second,
+# responses add at most 100 KB/s to the log.
 MAX_LOGGED_ANSWER_BYTES = 1024
-# The target's node answers at the deadline itself.
-_GRACE_MS = 50
-# Longest wait for the outcome of a claim that another node holds.
-_FOREIGN_WAIT_MS = 1000
-# Given-up claims whose append may still show up; past this number the oldest
-# are forgotten, and their keys stay held until they leave the window.
-_MAX_ABANDONED = 1000
+# The owner replies at the request's deadline; the worker waits this much longer
+# for that reply.
+_REPLY_GRACE_MS = 50
+# Maximum wait for the outcome of a claim that another node holds.
+_MAX_HOLDER_WAIT_MS = 1000
+# Abandoned claims that are remembered because their append may still appear in
+# the stream. Beyond this number the oldest claims are dropped; if such a claim
+# appears, its key stays claimed until the end of the window.
+_MAX_ABANDONED_CLAIMS = 1000
 
 
 @attrs.define(eq=False)
 class ShardWorker:
-    """Answers the keyed requests of one shard.
+    """Claims the keys of one shard and runs each claimed request once.
 
     Attributes:
         shard: Number of the shard.
-        writer: Name under which this start of the node writes.
-        log: The log's client.
-        clock: Tells the time.
-        settings: Limits.
-        responses: Answers kept for resends.
+        writer: Name of this process in claim records.
+        log: Client of the log.
+        clock: The node's clock.
+        settings: Limits and time-outs of claims.
+        responses: Responses stored for resent requests.
         claim_numbers: Source of claim numbers.
         dispatch: Runs a request on a target.
         batcher: Decides when to append.
-        table: The stream's state.
+        table: Claims that result from the records read.
         out: Appends to the stream.
-        reader: Reads it on.
+        reader: Reads the stream.
         flights: Requests that this node claims or runs, by claim key.
-        pending: Flights whose claim was not seen yet, by claim number.
-        releasing: Own claims whose release was not seen yet.
-        last_used_ms: When a request last came in.
+        pending: Requests whose claim was not read from the stream yet, by claim
+            number.
+        releasing: This node's claims whose release was not read from the stream
+            yet.
+        last_used_ms: Time of the latest request.
+        tasks: Running tasks of the worker.
     """
 
     shard: int
@@ -117,7 +123,7 @@
             self.settings.window_ms,
             self.table,
             self.batcher,
-            self._refuse,
+            self._on_claim_refused,
         )
         self.reader = ClaimReader(
             self.stream, self.log, self.clock, self.table, self
@@ -129,7 +135,7 @@
         return f"claims-{self.shard}"
 
     def start(self) -> None:
-        """Starts reading and appending."""
+        """Starts the tasks that read and append to the stream."""
         self._spawn(self.reader.run(), "read")
         self._spawn(self.out.run(), "append")
 
@@ -142,7 +148,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def stop(self) -> None:
-        """Ends every task."""
+        """Cancels every task and waits for its end."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
@@ -150,40 +156,42 @@
 
     @property
     def running(self) -> bool:
-        """Whether a request is being claimed or run."""
+        """Whether a request is being claimed or run on this node."""
         return any(not item.reply.done() for item in self.flights.values())
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is under way or waits to be appended."""
+        """Whether no request is in flight and no record waits for an append."""
         return not self.flights and self.out.idle
 
     # Requests.
 
     async def serve(self, keyed: KeyedRequest) -> ForwardReply:
-        """Answers a keyed request; it runs here once or not at all.
+        """Claims and runs a keyed request, at most once.
 
         Args:
             keyed: The request.
 
         Returns:
-            The target's answer, of this or an earlier sending.
+            The target's response to this request or to an earlier request with
+            the same key, or the error that ended the run.
 
         Raises:
-            RequestError: If it was not run or nobody knows.
+            RequestError: If the request did not run, or if it is unknown
+                whether the request ran.
         """
         self.last_used_ms = self.clock.now_ms()
         await self._catch_up(keyed)
         while True:
-            flight = self.flights.get(keyed.key)
-            if flight is None:
+            running = self.flights.get(keyed.key)
+            if running is None:
                 claim = self.table.find(keyed.key, self.clock.wall_ms())
                 if claim is not None and claim.claim_id not in self.releasing:
-                    return await self._held_elsewhere(keyed, claim)
-                flight = self._begin(keyed)
-            elif flight.keyed.digest != keyed.digest:
+                    return await self._respond_from_claim(keyed, claim)
+                running = self._begin_attempt(keyed)
+            elif running.keyed.digest != keyed.digest:
                 raise RequestError(ErrorKind.KEY_MISMATCH)
-            reply = await self._wait_for(flight, keyed)
+            reply = await self._wait_for_reply(running, keyed)
             if reply is not None:
                 return reply
 
@@ -202,92 +210,97 @@
     def _left_ms(self, keyed: KeyedRequest) -> int:
         return max(0, keyed.deadline_ms - self.clock.now_ms())
 
-    async def _held_elsewhere(
+    async def _respond_from_claim(
         self, keyed: KeyedRequest, claim: Claim
     ) -> ForwardReply:
         if claim.request_digest != keyed.digest:
             raise RequestError(ErrorKind.KEY_MISMATCH)
         if claim.status is ClaimStatus.HELD:
-            found = await self._await_holder(keyed, claim)
-            if found is None:
+            updated = await self._wait_for_holder(keyed, claim)
+            if updated is None:
                 return await self.serve(keyed)
-            claim = found
+            claim = updated
         if claim.status is ClaimStatus.ANSWERED:
-            answer = self.responses.get(keyed.key)
-            if answer is None:
+            response = self.responses.get(keyed.key)
+            if response is None:
                 raise RequestError(ErrorKind.CLAIM_ANSWERED)
-            return replayed_reply(answer)
+            return replayed_reply(response)
         if claim.status is ClaimStatus.UNKNOWN:
             raise RequestError(ErrorKind.CLAIM_UNKNOWN)
-        if self._may_still_end(claim):
+        if self._is_before_deadline(claim):
             raise RequestError(ErrorKind.KEY_IN_USE)
         raise RequestError(ErrorKind.CLAIM_UNKNOWN)
 
-    def _may_still_end(self, claim: Claim) -> bool:
+    def _is_before_deadline(self, claim: Claim) -> bool:
         return self.clock.wall_ms() < claim.deadline_ms
 
-    async def _await_holder(
+    async def _wait_for_holder(
         self, keyed: KeyedRequest, claim: Claim
     ) -> Claim | None:
-        # The holder may be about to write its outcome; after that it is dead,
-        # paused or cut off, and the caller is better told so than kept.
-        until_ms = self.clock.now_ms() + min(
-            _FOREIGN_WAIT_MS, self._left_ms(keyed)
+        # The claim's holder may be about to append its outcome. If no outcome
+        # appears within the wait, the holder has probably failed, is paused or
+        # is partitioned, and an early error is more useful to the caller.
+        wait_end_ms = self.clock.now_ms() + min(
+            _MAX_HOLDER_WAIT_MS, self._left_ms(keyed)
         )
         current: Claim | None = claim
-        while current == claim and self._may_still_end(claim):
-            wait_ms = until_ms - self.clock.now_ms()
+        while current == claim and self._is_before_deadline(claim):
+            wait_ms = wait_end_ms - self.clock.now_ms()
             if wait_ms <= 0:
                 break
             await wait_event(self.reader.changed, wait_ms)
             current = self.table.find(keyed.key, self.clock.wall_ms())
         return current
 
-    async def _wait_for(
-        self, flight: RunningRequest, keyed: KeyedRequest
+    async def _wait_for_reply(
+        self, running: RunningRequest, keyed: KeyedRequest
     ) -> ForwardReply | None:
-        flight.waiters += 1
+        running.waiters += 1
         try:
             wait_s = self._left_ms(keyed) / _MS_PER_S
-            done, _ = await asyncio.wait({flight.reply}, timeout=wait_s)
+            done, _ = await asyncio.wait({running.reply}, timeout=wait_s)
         finally:
-            flight.waiters -= 1
-            if not flight.waiters and not flight.reply.done():
-                self._give_up(flight)
+            running.waiters -= 1
+            if not running.waiters and not running.reply.done():
+                self._abandon(running)
         if done:
-            return flight.reply.result()
-        if flight.attempt.state is ClaimAttemptState.RUNNING:
+            return running.reply.result()
+        if running.attempt.state is ClaimAttemptState.RUNNING:
             raise RequestError(ErrorKind.DEADLINE_UNKNOWN)
         raise RequestError(ErrorKind.DEADLINE_NOT_RUN)
 
-    def _give_up(self, flight: RunningRequest) -> None:
-        flight.attempt = abandon(flight.attempt)
-        if flight.attempt.state is ClaimAttemptState.ABANDONED:
-            flight.decide(ClaimAttemptStep.NOTHING)
+    def _abandon(self, running: RunningRequest) -> None:
+        running.attempt = abandon(running.attempt)
+        if running.attempt.state is ClaimAttemptState.ABANDONED:
+            running.decide(ClaimAttemptStep.NOTHING)
 
-    # One attempt.
+    # One attempt to claim a key and run its request.
 
-    def _begin(self, keyed: KeyedRequest) -> RunningRequest:
-        self._check_room()
+    def _begin_attempt(self, keyed: KeyedRequest) -> RunningRequest:
+        self._check_capacity()
         number = next(self.claim_numbers)
         attempt = ClaimAttempt(
             ClaimId(self.writer, number), keyed.key, keyed.deadline_ms
         )
-        patience_ms = min(self.settings.claim_timeout_ms, self._left_ms(keyed))
+        claim_wait_ms = min(
+            self.settings.claim_timeout_ms, self._left_ms(keyed)
+        )
         entry = ClaimEntry(
             key=keyed.key,
             number=number,
             request=keyed.digest,
             remaining_ms=self._left_ms(keyed),
         )
-        self.out.claim(entry, patience_ms)
-        flight = RunningRequest(keyed, attempt)
-        self.flights[keyed.key] = flight
-        self.pending[number] = flight
-        self._spawn(self._fly(flight, patience_ms), f"claim-{number}")
-        return flight
-
-    def _check_room(self) -> None:
+        self.out.claim(entry, claim_wait_ms)
+        running = RunningRequest(keyed, attempt)
+        self.flights[keyed.key] = running
+        self.pending[number] = running
+        self._spawn(
+            self._run_attempt(running, claim_wait_ms), f"claim-{number}"
+        )
+        return running
+
+    def _check_capacity(self) -> None:
         if self.reader.blocked or self.reader.failing:
             raise RequestError(ErrorKind.CLAIM_UNAVAILABLE)
         wall_ms = self.clock.wall_ms()
@@ -298,34 +311,38 @@
         if wait_ms:
             raise RequestError(ErrorKind.CLAIM_UNAVAILABLE, wait_ms)
 
-    async def _fly(self, flight: RunningRequest, patience_ms: int) -> None:
-        await asyncio.wait({flight.step}, timeout=patience_ms / _MS_PER_S)
-        self._give_up(flight)
+    async def _run_attempt(
+        self, running: RunningRequest, claim_wait_ms: int
+    ) -> None:
+        await asyncio.wait({running.step}, timeout=claim_wait_ms / _MS_PER_S)
+        self._abandon(running)
         step = (
-            flight.step.result()
-            if flight.step.done()
+            running.step.result()
+            if running.step.done()
             else ClaimAttemptStep.NOTHING
         )
         if step is ClaimAttemptStep.RUN:
-            await self._run(flight)
+            await self._run_request(running)
             return
-        # The key is free for the next sending, or held by another claim that
-        # the waiting callers look up.
-        del self.flights[flight.keyed.key]
-        self._forget_body(flight)
-        flight.finish(_unrun_reply(step))
-
-    async def _run(self, flight: RunningRequest) -> None:
-        keyed = flight.keyed
+        # The request did not run. Either the key is free for a resent request,
+        # or another claim holds the key and the waiting callers look up that
+        # claim.
+        del self.flights[running.keyed.key]
+        self._discard_body(running)
+        running.finish(_reply_not_run(step))
+
+    async def _run_request(self, running: RunningRequest) -> None:
+        keyed = running.keyed
         try:
             request = attrs.evolve(
                 keyed.request,
                 sent_ms=self.clock.now_ms(),
                 remaining_ms=self._left_ms(keyed),
             )
-            # A target's node that is paused would keep the key for good.
+            # Without a time-out the attempt would not end while the owner is
+            # paused, and would keep the key in use.
             async with asyncio.timeout(
-                (request.remaining_ms + _GRACE_MS) / _MS_PER_S
+                (request.remaining_ms + _REPLY_GRACE_MS) / _MS_PER_S
             ):
                 reply = await self.dispatch(request)
         except RequestError as error:
@@ -335,20 +352,22 @@
         except Exception:
             _logger.exception("claim.run_failed")
             reply = error_reply(0, RequestError(ErrorKind.INTERNAL))
-        self._ran(flight, reply)
+        self._on_request_ended(running, reply)
 
-    def _ran(self, flight: RunningRequest, reply: ForwardReply) -> None:
+    def _on_request_ended(
+        self, running: RunningRequest, reply: ForwardReply
+    ) -> None:
         error = reply_error(reply)
         run_state = (
             ERROR_RESPONSES[error.kind].run_state if error else RunState.RAN
         )
-        flight.attempt, step = on_run_ended(flight.attempt, run_state)
+        running.attempt, step = on_run_ended(running.attempt, run_state)
         if step is ClaimAttemptStep.RELEASE:
-            del self.flights[flight.keyed.key]
-            self._release(flight.attempt)
+            del self.flights[running.keyed.key]
+            self._release(running.attempt)
         if step is ClaimAttemptStep.COMPLETE:
-            self._complete(flight.attempt, reply)
-        flight.finish(reply)
+            self._complete(running.attempt, reply)
+        running.finish(reply)
 
     def _release(self, attempt: ClaimAttempt) -> None:
         self.releasing.add(attempt.claim_id)
@@ -356,75 +375,76 @@
         self.out.add(record)
 
     def _complete(self, attempt: ClaimAttempt, reply: ForwardReply) -> None:
-        answer = None if reply.error else stored_response(reply)
-        if answer is not None:
-            self.responses.put(attempt.key, answer)
+        response = None if reply.error else stored_response(reply)
+        if response is not None:
+            self.responses.put(attempt.key, response)
         record = completion_record(
             attempt.key,
             attempt.claim_id.number,
             reply.error,
-            answer,
+            response,
             MAX_LOGGED_ANSWER_BYTES,
         )
         self.out.add(record)
 
-    def _forget_body(self, flight: RunningRequest) -> None:
-        # A claim that was given up is waited for without its request: bodies
-        # of megabytes would pile up while the log is down.
-        request = attrs.evolve(flight.keyed.request, body=b"", headers=())
-        flight.keyed = attrs.evolve(flight.keyed, request=request)
+    def _discard_body(self, running: RunningRequest) -> None:
+        # An abandoned claim is remembered without its request's body and
+        # headers. Bodies can have megabytes each and would accumulate in memory
+        # during an outage of the log.
+        request = attrs.evolve(running.keyed.request, body=b"", headers=())
+        running.keyed = attrs.evolve(running.keyed, request=request)
         abandoned = [
             number
             for number, item in self.pending.items()
             if item.attempt.state is ClaimAttemptState.ABANDONED
         ]
-        for number in abandoned[:-_MAX_ABANDONED]:
+        for number in abandoned[:-_MAX_ABANDONED_CLAIMS]:
             del self.pending[number]
 
-    # What became of claims.
+    # Events of the stream and of the writer.
 
-    def _refuse(self, entry: ClaimEntry) -> None:
-        flight = self.pending.get(entry.number)
-        if flight is not None:
-            self._give_up(flight)
+    def _on_claim_refused(self, entry: ClaimEntry) -> None:
+        running = self.pending.get(entry.number)
+        if running is not None:
+            self._abandon(running)
 
     def on_history_lost(self) -> None:
-        """Lets no pending claim run."""
-        for flight in self.pending.values():
-            self._give_up(flight)
+        """Abandons every pending claim, so that its request cannot run."""
+        for running in self.pending.values():
+            self._abandon(running)
 
     def on_claim_seen(self, event: ClaimSeen) -> None:
-        """Takes a claim that was read."""
+        """Decides the next step after this node's claim was read."""
         if event.claim_id.writer != self.writer:
             return
-        flight = self.pending.pop(event.claim_id.number, None)
-        if flight is None:
+        running = self.pending.pop(event.claim_id.number, None)
+        if running is None:
             return
-        flight.attempt, step = on_claim_seen(
-            flight.attempt, event.won, self.clock.now_ms()
+        running.attempt, step = on_claim_seen(
+            running.attempt, event.won, self.clock.now_ms()
         )
         if step in (ClaimAttemptStep.RELEASE, ClaimAttemptStep.EXPIRED):
-            self._release(flight.attempt)
-        flight.decide(step)
+            self._release(running.attempt)
+        running.decide(step)
 
     def on_claim_ended(self, event: ClaimEnded) -> None:
-        """Keeps the answer of a claim that has ended."""
+        """Stores the response of a claim that was completed."""
         if event.response and self.responses.get(event.key) is None:
             self.responses.put(event.key, event.response)
 
     def on_batch_written(self, batch: ClaimBatch) -> None:
-        """Forgets what has been written for good."""
+        """Removes requests and releases whose records were read back."""
         if batch.writer != self.writer:
             return
         for completion in batch.completions:
-            flight = self.flights.get(completion.key)
-            if flight and flight.attempt.claim_id.number == completion.number:
+            running = self.flights.get(completion.key)
+            if running and running.attempt.claim_id.number == completion.number:
                 del self.flights[completion.key]
         for release in batch.releases:
             self.releasing.discard(ClaimId(self.writer, release.number))
 
 
-def _unrun_reply(step: ClaimAttemptStep) -> ForwardReply | None:
+def _reply_not_run(step: ClaimAttemptStep) -> ForwardReply | None:
     if step is ClaimAttemptStep.LOST:
         return None
     kind = ErrorKind.CLAIM_UNAVAILABLE
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_writer.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_writer.py
@@ -1,4 +1,4 @@
-"""Appends the claims of one shard to its stream."""
+"""Appends claims, releases and completions to the stream of one shard."""
 
 import asyncio
 import logging
@@ -27,18 +27,18 @@
 
 @attrs.define(eq=False)
 class ClaimWriter:
-    """Gathers what is to be written and appends it in batches.
+    """Collects items and appends them to the stream in batches.
 
     Attributes:
-        stream: The shard's stream.
-        writer: Name under which this start of the node writes.
-        log: The log's client.
-        clock: Tells the time.
-        window_ms: How long a key is remembered.
-        table: The stream's state.
+        stream: Name of the shard's stream.
+        writer: Name of this process in claim records.
+        log: Client of the log.
+        clock: The node's clock.
+        window_ms: Time for which a key stays claimed.
+        table: Claims that result from the records read.
         batcher: Decides when to append.
-        on_refused: Called with each claim that was not appended for certain.
-        work: Set when something was added.
+        on_refused: Called with each claim that was certainly not appended.
+        work: Set when an item was added.
     """
 
     stream: str
@@ -53,21 +53,22 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing waits to be appended."""
+        """Whether no item waits to be appended and no append is in flight."""
         batcher = self.batcher
         return not (batcher.urgent or batcher.deferred or batcher.appending)
 
-    def claim(self, entry: ClaimEntry, patience_ms: int) -> None:
+    def claim(self, entry: ClaimEntry, max_wait_ms: int) -> None:
         """Adds a claim.
 
         Args:
             entry: The claim.
-            patience_ms: How long its request can wait for it.
+            max_wait_ms: Maximum time that the request can wait for the append.
 
         Raises:
-            RequestError: CLAIM_UNAVAILABLE where it would take longer.
+            RequestError: CLAIM_UNAVAILABLE if the append is expected to take
+                longer, or if appends are paused after a failure.
         """
-        offered = self.batcher.offer(entry, self.clock.now_ms(), patience_ms)
+        offered = self.batcher.offer(entry, self.clock.now_ms(), max_wait_ms)
         if isinstance(offered, Failure):
             raise RequestError(
                 ErrorKind.CLAIM_UNAVAILABLE, max(1, offered.failure())
@@ -75,12 +76,12 @@
         self.work.set()
 
     def add(self, item: ClaimRelease | ClaimCompletion) -> None:
-        """Adds what may wait for the next batch."""
+        """Adds an item that no caller waits for."""
         self.batcher.defer(item, self.clock.now_ms())
         self.work.set()
 
     async def run(self) -> None:
-        """Appends batches until it is cancelled."""
+        """Appends batches until the task is cancelled."""
         while True:
             wait_ms = self.batcher.wait_ms(self.clock.now_ms())
             if wait_ms == 0:
@@ -119,11 +120,12 @@
             "claims.append_failed",
             extra={"stream": self.stream, "error": str(error)},
         )
-        # A claim is never appended again: the first append may still take
-        # effect, and a second one of the same claim after its release would
-        # hold the key for good. Releases and completions may be repeated.
-        again = [i for i in items if not isinstance(i, ClaimEntry)]
-        refused = self.batcher.on_append_failed(self.clock.now_ms(), again)
+        # A claim is never appended again. The failed append may still take
+        # effect, and if the claim were repeated after its release, the claim
+        # would hold the key without a request until the key's window ends.
+        # Releases and completions are idempotent and may be repeated.
+        repeatable = [i for i in items if not isinstance(i, ClaimEntry)]
+        refused = self.batcher.on_append_failed(self.clock.now_ms(), repeatable)
         if error.kind is LogErrorKind.REJECTED:
             refused += [i for i in items if isinstance(i, ClaimEntry)]
         for item in refused:
@@ -132,7 +134,12 @@
 
 
 async def wait_event(event: asyncio.Event, wait_ms: int | None) -> None:
-    """Waits for an event, for so long at most; None for any time."""
+    """Waits for an event until a time-out.
+
+    Args:
+        event: The event.
+        wait_ms: Maximum wait; None for no limit.
+    """
     timeout = None if wait_ms is None else wait_ms / _MS_PER_S
     try:
         async with asyncio.timeout(timeout):
--- a/packages/pomelobank-node/src/pomelobank_node/_keyed_requests.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_keyed_requests.py
@@ -1,4 +1,4 @@
-"""A keyed request that this node claims and runs."""
+"""Keyed requests that this node claims and runs, and their responses."""
 
 import asyncio
 
@@ -13,13 +13,13 @@
 
 @attrs.frozen
 class KeyedRequest:
-    """A request with an idempotency key, as the claiming node got it.
+    """A request with an idempotency key, as received by the claiming node.
 
     Attributes:
         key: The claim key.
-        digest: Digest that tells it from other requests under the key.
+        digest: Digest that distinguishes different requests with the same key.
         request: The request.
-        deadline_ms: When it must have ended, on this node's clock.
+        deadline_ms: The request's deadline on this node's clock.
     """
 
     key: bytes
@@ -30,14 +30,15 @@
 
 @attrs.define(eq=False)
 class RunningRequest:
-    """One attempt and everybody who waits for it.
+    """One attempt to claim and run a request, and its pending results.
 
     Attributes:
-        keyed: The request that began it.
-        attempt: The attempt.
-        step: What the stream decided.
-        reply: How it ended; None where another claim holds the key.
-        waiters: Callers who wait for the reply.
+        keyed: The request that started the attempt.
+        attempt: State of the attempt.
+        step: The next step once the claim was read from the stream or the
+            attempt was abandoned.
+        reply: The reply to the request; None if another claim holds the key.
+        waiters: Number of callers that wait for the reply.
     """
 
     keyed: KeyedRequest
@@ -51,26 +52,31 @@
     waiters: int = 0
 
     def decide(self, step: ClaimAttemptStep) -> None:
-        """Sets what the stream decided, once."""
+        """Sets the next step, unless a step is already set."""
         if not self.step.done():
             self.step.set_result(step)
 
     def finish(self, reply: ForwardReply | None) -> None:
-        """Sets how it ended, once."""
+        """Sets the reply, unless a reply is already set."""
         if not self.reply.done():
             self.reply.set_result(reply)
 
 
 def stored_response(reply: ForwardReply) -> StoredResponse:
-    """Returns a target's answer in the form in which it is kept."""
+    """Converts a target's reply to the form in which responses are stored."""
     headers = tuple((item.name, item.value) for item in reply.headers)
     return StoredResponse(reply.status, headers, reply.body)
 
 
-def replayed_reply(answer: StoredResponse) -> ForwardReply:
-    """Returns the reply to a caller that sent its key again."""
-    headers = [Header(name=name, value=value) for name, value in answer.headers]
+def replayed_reply(response: StoredResponse) -> ForwardReply:
+    """Returns a stored response as the reply to a resent request.
+
+    A header marks the reply as replayed.
+    """
+    headers = [
+        Header(name=name, value=value) for name, value in response.headers
+    ]
     headers.append(Header(name=REPLAYED_HEADER, value=b"true"))
     return ForwardReply(
-        status=answer.status, headers=tuple(headers), body=answer.body
+        status=response.status, headers=tuple(headers), body=response.body
     )
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
@@ -43,7 +43,7 @@
 # Requests of one connection that run concurrently. At the limit the connection
 # stops reading, since one caller could otherwise occupy every slot of an
 # upstream.
-_MAX_PIPELINED = 32
+_MAX_PIPELINED_REQUESTS = 32
 _MAX_HEADERS = 128
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _MS_PER_S = 1000
@@ -306,7 +306,7 @@
         if transport is None or transport.is_closing():
             return
         pause = (
-            len(self.exchanges) >= _MAX_PIPELINED
+            len(self.exchanges) >= _MAX_PIPELINED_REQUESTS
             or not self.writable.is_set()
             or self._upload_is_full()
         )
