--- a/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
@@ -1,4 +1,4 @@
-"""Tells a crash of the target from a connection that merely broke."""
+"""Distinguishes a crash of the target from a single broken connection."""
 
 import asyncio
 import contextlib
@@ -10,23 +10,26 @@
 from pomelobank_node._requests import ForwardRequest
 from pomelobank_schema import parse_address
 
-# A target that is there accepts within a round trip on the same instance.
+# Time-out of the probe connection. A running target accepts within one round
+# trip, since the target is on the same instance.
 _PROBE_TIMEOUT_S = 0.2
-# Several connections that break in one moment are a crash even where the
-# platform has the target listening again before it is probed.
-_SEVERAL = 2
+# Minimum number of connections whose common loss counts as a crash although the
+# probe succeeds. The probe alone misses a crash if the platform restarts the
+# target before the probe.
+_MIN_BROKEN_CONNECTIONS = 2
 
 
 @attrs.define(eq=False)
 class CrashDetector:
-    """Watches the requests at the node's target.
+    """Tracks the requests at the node's target and detects its crashes.
 
     Attributes:
-        crash_reports: Told about crashes.
-        running: Requests at the target.
+        crash_reports: Receives the requests that were in flight at a crash.
+        running: Requests at the target, by object id.
         broken: Requests whose connection broke since the last verdict.
-        verdict: Being reached on these, None while there are none.
-        crashes: Crashes that were seen, for the metrics.
+        verdict: Task that decides whether these were lost in a crash; None if
+            no connection broke.
+        crashes: Number of detected crashes, for the metrics.
     """
 
     crash_reports: CrashReports
@@ -37,7 +40,7 @@
 
     @contextlib.contextmanager
     def track(self, request: ForwardRequest) -> Iterator[None]:
-        """Watches a request while it is at the target."""
+        """Tracks a request while the request is at the target."""
         self.running[id(request)] = request
         try:
             yield
@@ -45,29 +48,32 @@
             del self.running[id(request)]
 
     async def on_connection_lost(self, address: str) -> None:
-        """Takes a broken connection; returns once its cause is known.
+        """Handles a broken connection; returns once its cause is known.
 
-        The news of a crash leaves this node before the caller learns of it,
-        so that it mostly arrives elsewhere before the request is sent again.
+        The node sends its crash report before the caller receives the error.
+        Other nodes therefore mostly receive the report before the caller
+        retries the request there.
 
         Args:
             address: The target's address.
         """
         self.broken += 1
         if self.verdict is None:
-            # Whatever shared the target at this moment may be the cause.
-            beside = list(self.running.values())
-            self.verdict = asyncio.create_task(self._reach(beside, address))
+            # Every request that was at the target may be the cause of a crash.
+            in_flight = list(self.running.values())
+            self.verdict = asyncio.create_task(self._decide(in_flight, address))
         await asyncio.shield(self.verdict)
 
-    async def _reach(self, beside: list[ForwardRequest], address: str) -> None:
-        gone = not await _accepts(address)
-        all_broke = self.broken >= max(_SEVERAL, len(beside))
+    async def _decide(
+        self, in_flight: list[ForwardRequest], address: str
+    ) -> None:
+        unreachable = not await _accepts(address)
+        all_broke = self.broken >= max(_MIN_BROKEN_CONNECTIONS, len(in_flight))
         self.verdict = None
         self.broken = 0
-        if gone or all_broke:
+        if unreachable or all_broke:
             self.crashes += 1
-            self.crash_reports.on_target_lost(beside)
+            self.crash_reports.on_target_lost(in_flight)
 
 
 async def _accepts(address: str) -> bool:
--- a/packages/pomelobank-node/src/pomelobank_node/_crash_reports.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_reports.py
@@ -1,4 +1,4 @@
-"""Tells every node about requests that were in flight at a crash."""
+"""Publishes crash evidence about requests to all nodes."""
 
 import asyncio
 import os
@@ -23,18 +23,20 @@
 from pomelobank_node._requests import ForwardRequest, RequestError
 from pomelobank_schema.generated.peer import CrashEvidence, CrashReport
 
-# Up to this many members are told straight. Beyond, each node that hears a
-# report for the first time passes it to a few: six reach all but about one in
-# 400 nodes, and none opens a thousand streams because of one crash.
-_TELL_ALL = 32
-_FANOUT = 6
-# Reports of an hour with a crash a second; only repeats are recognised by it.
-_MAX_SEEN = 4096
+# Up to this many peers a node sends a report directly to every peer. With more
+# peers, each node that receives a report for the first time forwards the report
+# to `_FAN_OUT` random peers. A fan-out of six reaches all but about one in 400
+# nodes, and no node opens a thousand streams because of one crash.
+_MAX_DIRECT_PEERS = 32
+_FAN_OUT = 6
+# Report ids that are remembered to recognise duplicates; an hour with one crash
+# per second fits.
+_MAX_SEEN_REPORTS = 4096
 _ID_BYTES = 8
 
 
 def request_fingerprint(request: ForwardRequest) -> bytes:
-    """Returns the fingerprint of a request."""
+    """Returns the fingerprint of a request; computes a missing one."""
     if request.fingerprint:
         return request.fingerprint
     return fingerprint(
@@ -44,16 +46,17 @@
 
 @attrs.define(eq=False)
 class CrashReports:
-    """Collects evidence, adds it to the table and passes it on.
+    """Adds evidence to the quarantine table and publishes it to peers.
 
     Attributes:
-        table: Suspicions.
-        members: Who is told.
-        links: Streams to them.
-        clock: Tells the time.
-        seen: Ids of reports that were taken, the oldest first.
+        members: Member table, which lists the peers.
+        links: Streams to peers.
+        clock: The node's clock.
+        table: Evidence against requests, and quarantined requests.
+        seen: Ids of handled reports, oldest first.
+        tasks: Tasks that send reports.
         sent: Reports sent, for the metrics.
-        rejected: Requests refused as quarantined, for the metrics.
+        rejected: Requests rejected as quarantined, for the metrics.
     """
 
     members: MemberTable
@@ -66,54 +69,55 @@
     rejected: int = 0
 
     def check(self, request: ForwardRequest) -> QuarantineState:
-        """Returns how a request may run.
+        """Returns whether a request may run, and whether in isolation.
 
         Raises:
-            RequestError: QUARANTINED.
+            RequestError: QUARANTINED if the request must not run.
         """
-        # Digesting each body would cost every request for the sake of a few.
+        # Without entries the fingerprint is skipped, since every request would
+        # pay for a digest of its body.
         if not self.table.entries:
             return QuarantineState.CLEAR
-        print_ = request_fingerprint(request)
+        digest = request_fingerprint(request)
         now_ms = self.clock.now_ms()
-        standing = self.table.state(print_, now_ms)
-        if standing is QuarantineState.QUARANTINED:
+        state = self.table.state(digest, now_ms)
+        if state is QuarantineState.QUARANTINED:
             self.rejected += 1
-            after_ms = self.table.retry_after_ms(print_, now_ms)
+            after_ms = self.table.retry_after_ms(digest, now_ms)
             raise RequestError(ErrorKind.QUARANTINED, after_ms)
-        return standing
+        return state
 
     def on_target_lost(self, requests: Iterable[ForwardRequest]) -> None:
-        """Takes the requests that were at the target when it crashed."""
-        prints = {request_fingerprint(request) for request in requests}
-        alone = len(prints) == 1
-        self._report(
+        """Publishes evidence against requests at a target that crashed."""
+        fingerprints = {request_fingerprint(request) for request in requests}
+        alone = len(fingerprints) == 1
+        self._publish(
             Evidence(item, points=POINTS_TARGET_LOST, alone=alone)
-            for item in prints
+            for item in fingerprints
         )
 
     def on_node_lost(self, request: ForwardRequest) -> None:
-        """Takes a request whose node was lost while it was there."""
-        print_ = request_fingerprint(request)
-        self._report([Evidence(print_, points=POINTS_NODE_LOST)])
+        """Publishes evidence against a request whose target's node was lost."""
+        digest = request_fingerprint(request)
+        self._publish([Evidence(digest, points=POINTS_NODE_LOST)])
 
     def on_request_completed(self, request: ForwardRequest) -> None:
-        """Takes a request that ran to its end."""
+        """Publishes that a request with evidence against it has completed."""
         if not self.table.entries:
             return
-        print_ = request_fingerprint(request)
-        if print_ in self.table.entries:
-            self._report([Evidence(print_, cleared=True)])
+        digest = request_fingerprint(request)
+        if digest in self.table.entries:
+            self._publish([Evidence(digest, cleared=True)])
 
     def receive(self, report: CrashReport) -> None:
-        """Takes a peer's report and passes it on if it is new."""
+        """Handles a peer's report; forwards a new report in a large mesh."""
         if report.report_id in self.seen:
             return
-        self._take(report)
-        if len(self.members.others) > _TELL_ALL:
-            self._pass_on(report)
+        self._apply(report)
+        if len(self.members.others) > _MAX_DIRECT_PEERS:
+            self._forward(report)
 
-    def _report(self, evidence: Iterable[Evidence]) -> None:
+    def _publish(self, evidence: Iterable[Evidence]) -> None:
         report = CrashReport(
             report_id=os.urandom(_ID_BYTES),
             evidence=tuple(
@@ -126,12 +130,12 @@
                 for item in evidence
             ),
         )
-        self._take(report)
-        self._pass_on(report)
+        self._apply(report)
+        self._forward(report)
 
-    def _take(self, report: CrashReport) -> None:
+    def _apply(self, report: CrashReport) -> None:
         self.seen[report.report_id] = None
-        if len(self.seen) > _MAX_SEEN:
+        if len(self.seen) > _MAX_SEEN_REPORTS:
             del self.seen[next(iter(self.seen))]
         now_ms = self.clock.now_ms()
         for item in report.evidence:
@@ -140,14 +144,14 @@
             )
             self.table.add(evidence, now_ms)
 
-    def _pass_on(self, report: CrashReport) -> None:
+    def _forward(self, report: CrashReport) -> None:
         addresses = [
             entry.peer_address
             for entry in self.members.others.values()
             if entry.peer_address and entry.state != MemberState.GONE.value
         ]
-        if len(addresses) > _TELL_ALL:
-            addresses = random.sample(addresses, _FANOUT)
+        if len(addresses) > _MAX_DIRECT_PEERS:
+            addresses = random.sample(addresses, _FAN_OUT)
         for address in addresses:
             task = asyncio.create_task(self._send(address, report))
             self.tasks.add(task)
@@ -161,10 +165,10 @@
             return
 
     async def start(self) -> None:
-        """Does nothing; reports are sent as they arise."""
+        """Does nothing; reports are sent when evidence is added."""
 
     async def stop(self) -> None:
-        """Ends the reports under way."""
+        """Cancels the reports that are being sent."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
@@ -1,4 +1,4 @@
-"""Keeps the node's entry in step with the target beside it."""
+"""Keeps the node's member entry up to date with the state of its target."""
 
 import asyncio
 import logging
@@ -24,24 +24,28 @@
 
 _logger = logging.getLogger(__name__)
 
-# Every member is told of a drain at once and hears it by gossip as well; one
-# that sends work later than this is refused as not run, so that the target
-# gets no new work however far the news went.
+# Time from the start of a drain until the node rejects new requests. The node
+# notifies every member of the drain directly and by gossip. Requests that a
+# member still sends after this time are rejected as not run, so that the target
+# gets no new work even if the notification did not reach that member.
 REJECT_AFTER_MS = 1000
 _MS_PER_S = 1000
 
 
 @attrs.define(eq=False)
 class TargetWatch:
-    """Applies what the target's lease decides.
+    """Applies the changes of the target's lease to the owner and membership.
 
     Attributes:
         owner: Runs requests on the target.
-        membership: Tells others of the target.
-        clock: Tells the time.
-        departures: Targets that have said that they leave.
-        lease: Decides.
-        reject_after_ms: Time from a drain on after which nothing new is taken.
+        membership: Publishes the node's member entry.
+        clock: The node's clock.
+        departures: Targets that have announced their departure.
+        lease: Decides how announcements change the target's state.
+        reject_after_ms: Time from the start of a drain after which new requests
+            are rejected.
+        refusing: Task that starts to reject new requests; None outside a drain.
+        tasks: Running background tasks.
     """
 
     owner: Owner
@@ -54,25 +58,25 @@
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     async def start(self) -> None:
-        """Begins to watch the lease."""
-        self.membership.on_tick.append(self._check)
+        """Starts to check the lease and to load departures from the log."""
+        self.membership.on_tick.append(self._check_lease)
         await self.departures.start()
-        self._begin(self._drain_departed())
+        self._spawn(self._drain_departed())
 
     async def stop(self) -> None:
-        """Ends what is under way."""
+        """Cancels the background tasks and stops the departure log."""
         await self.departures.stop()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        await self._cancel_refusing()
+        await self._cancel_rejection()
 
-    def _begin(self, work: Coroutine[None, None, None]) -> None:
+    def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _cancel_refusing(self) -> None:
+    async def _cancel_rejection(self) -> None:
         if self.refusing is not None:
             self.refusing.cancel()
             await asyncio.gather(self.refusing, return_exceptions=True)
@@ -81,40 +85,40 @@
     async def handle_announcement(
         self, announcement: TargetAnnouncement
     ) -> None:
-        """Takes an announcement of the target."""
-        # A process that has just started knows nothing of what the one before
-        # it has acknowledged; the log does.
+        """Handles an announcement of the target."""
+        # An earlier process of this node may have acknowledged a departure
+        # that only the log remembers.
         await self.departures.ready.wait()
-        if self._has_left(announcement):
+        if self._has_departed(announcement):
             announcement = attrs.evolve(announcement, draining=True)
         change = self.lease.on_announcement(announcement, self.clock.now_ms())
         if change is TargetChange.DRAINING:
-            await self._tell_draining()
+            await self._broadcast_draining()
         elif change is TargetChange.RESTARTED:
-            self._note_return(announcement)
-            await self._cancel_refusing()
+            self._record_return(announcement)
+            await self._cancel_rejection()
             self.owner.draining = False
             self._set_target(announcement, restarted=True)
         elif change is TargetChange.ACTIVATED:
             self._set_target(announcement, restarted=False)
 
-    def _has_left(self, target: TargetAnnouncement) -> bool:
+    def _has_departed(self, target: TargetAnnouncement) -> bool:
         if not target.instance and self.lease.announcement is not None:
-            # Without a name only a silence tells a new start, and the lease
-            # has noticed it.
+            # A target without an instance name is new only after its lease
+            # lapsed, and the lease has handled that case.
             return False
         return self.departures.has_departed(target)
 
-    def _note_return(self, target: TargetAnnouncement) -> None:
-        # The departure of a target without a name is that of its next start
-        # too; left in the log it would drain that one with each restart of
-        # this node.
+    def _record_return(self, target: TargetAnnouncement) -> None:
+        # Two starts of a target without an instance name are indistinguishable.
+        # If the departure stayed in the log, every restart of this node would
+        # drain the target's next start.
         if self.departures.has_departed(target):
             departure = attrs.evolve(_departure_of(target), returned=True)
             self.departures.add(departure)
-            self._begin(self._keep_return(departure))
+            self._spawn(self._persist_return(departure))
 
-    async def _keep_return(self, departure: DepartureRecord) -> None:
+    async def _persist_return(self, departure: DepartureRecord) -> None:
         try:
             await self.departures.persist(departure)
         except LogError as error:
@@ -122,69 +126,77 @@
                 "target.return_not_kept", extra={"error": str(error)}
             )
 
-    def _set_target(self, new: TargetAnnouncement, restarted: bool) -> None:
-        # A node that takes a target which had left shows in this line: the
-        # same instance and start as in the line of its leaving.
+    def _set_target(
+        self, announcement: TargetAnnouncement, restarted: bool
+    ) -> None:
+        # If a node wrongly activates a departed target, this line shows the
+        # same instance and start time as the target's `target.draining` line.
         _logger.info(
             "target.taken",
             extra={
-                "instance": new.instance,
-                "started_at_ms": new.started_at_ms,
+                "instance": announcement.instance,
+                "started_at_ms": announcement.started_at_ms,
                 "restarted": restarted,
             },
         )
         self.owner.set_target(
             Target(
-                new.upstream,
-                new.address,
-                new.slots,
-                new.instance,
-                new.started_at_ms,
+                announcement.upstream,
+                announcement.address,
+                announcement.slots,
+                announcement.instance,
+                announcement.started_at_ms,
             )
         )
         table = self.membership.table
         state = MemberState.READY.value
         if restarted:
-            # Peers may hear of the drain and of the return in either order;
-            # only a new incarnation tells them which came last.
+            # Peers may receive the drain and the restart in either order; only
+            # a new incarnation tells them which of the two is the later.
             table.restart_own(
                 self.clock.wall_ms(),
                 state=state,
-                upstream=new.upstream,
-                slots=new.slots,
+                upstream=announcement.upstream,
+                slots=announcement.slots,
             )
         else:
             table.update_own(
-                state=state, upstream=new.upstream, slots=new.slots
+                state=state,
+                upstream=announcement.upstream,
+                slots=announcement.slots,
             )
         self.membership.gossip_own_entry()
 
     async def handle_departure(self, departure: DepartureRecord) -> None:
-        """Takes the word of a target that it leaves, which it says only once.
+        """Handles a target's departure, which the target announces only once.
 
-        Returns once the word is kept. Acknowledged before, it would be lost
-        with this process: the next one would take the target back, which goes
-        on announcing itself, and send it requests until it ends.
+        The method returns once the departure is in the log. If the departure
+        were acknowledged earlier and this process were killed, the node's next
+        process would activate the target again, because the target goes on
+        announcing itself, and would send it requests until the target ends.
 
         Raises:
-            LogError: If the word may be lost; the target is out all the same.
+            LogError: If the departure may not be in the log. The target is
+                drained nevertheless.
         """
         target = self.lease.announcement
         if target is not None and departure.instance == target.instance:
-            # Without a time of start it is the one that is here.
+            # A departure without a start time concerns the current target.
             started_at_ms = departure.started_at_ms or target.started_at_ms
             departure = attrs.evolve(departure, started_at_ms=started_at_ms)
         self.departures.add(departure)
         if target is not None and is_departure_of(departure, target):
-            # Telling every peer may take longer than the target waits.
-            self._begin(self._drain())
+            # The drain runs in the background, since notifying every peer may
+            # take longer than the target waits for a response.
+            self._spawn(self._drain())
         await self.departures.persist(departure)
 
     async def drain(self) -> None:
-        """Takes the target out of the mesh until it starts again.
+        """Drains the target until the target starts again.
 
         Raises:
-            LogError: If a restart of this node may undo it.
+            LogError: If the drain may not be in the log, so that a restart of
+                this node may undo the drain.
         """
         target = self.lease.announcement
         if target is None:
@@ -194,7 +206,7 @@
 
     async def _drain(self) -> None:
         if self.lease.drain() is TargetChange.DRAINING:
-            await self._tell_draining()
+            await self._broadcast_draining()
 
     async def _drain_departed(self) -> None:
         await self.departures.loaded.wait()
@@ -203,15 +215,15 @@
             await self._drain()
 
     async def close(self) -> None:
-        """Takes the target out of the mesh for the node's own stop."""
+        """Drains the target because the node itself stops."""
         self.lease.close()
         if self.membership.table.own.state != MemberState.DRAINING.value:
-            await self._tell_draining()
+            await self._broadcast_draining()
 
-    async def _tell_draining(self) -> None:
+    async def _broadcast_draining(self) -> None:
         _logger.info("target.draining", extra=self._target_fields())
         self.membership.table.update_own(state=MemberState.DRAINING.value)
-        self.refusing = asyncio.create_task(self._refuse_later())
+        self.refusing = asyncio.create_task(self._reject_after_delay())
         await self.membership.broadcast_own_entry()
 
     def _target_fields(self) -> dict[str, object]:
@@ -223,12 +235,12 @@
             "started_at_ms": target.started_at_ms,
         }
 
-    async def _refuse_later(self) -> None:
+    async def _reject_after_delay(self) -> None:
         await asyncio.sleep(self.reject_after_ms / _MS_PER_S)
         self.owner.reject_new_requests()
         _logger.info("target.refuses", extra=self._target_fields())
 
-    def _check(self, now_ms: int) -> None:
+    def _check_lease(self, now_ms: int) -> None:
         if self.lease.check(now_ms) is TargetChange.LAPSED:
             _logger.warning("target.lapsed", extra=self._target_fields())
             self.membership.table.update_own(state=MemberState.STARTING.value)
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_crash_containment.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_crash_containment.py
@@ -1,4 +1,4 @@
-"""A request that crashes targets, seen by the nodes beside them."""
+"""Containment of requests that crash targets."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,14 +19,14 @@
 
 @attrs.define(eq=False)
 class FragileTarget:
-    """Answers, holds `/hold` until told, and dies of `/poison`."""
+    """Responds to requests, delays `/hold` and crashes on `/poison`."""
 
     server: asyncio.Server | None = None
     writers: list[asyncio.StreamWriter] = attrs.field(factory=list)
     release: asyncio.Event = attrs.field(factory=asyncio.Event)
     held: asyncio.Event = attrs.field(factory=asyncio.Event)
     crashes: int = 0
-    most: int = 0
+    max_busy: int = 0
     busy: int = 0
 
     async def start(self, port: int = 0) -> str:
@@ -42,7 +42,7 @@
             while (await reader.readline()).strip():
                 continue
             self.busy += 1
-            self.most = max(self.most, self.busy)
+            self.max_busy = max(self.max_busy, self.busy)
             if b"/poison" in head:
                 self.crash()
                 return
@@ -60,13 +60,13 @@
             writer.transport.abort()
 
 
-class Wire:
-    """Brings reports straight to the other nodes of the test."""
+class DirectLinks:
+    """Delivers reports directly to all nodes of the test."""
 
     def __init__(self) -> None:
         self.nodes: list[CrashReports] = []
 
-    def to(self, address: str) -> "Wire":
+    def to(self, address: str) -> "DirectLinks":
         return self
 
     async def send(self, report: CrashReport) -> None:
@@ -93,21 +93,21 @@
                 idempotent=True,
             )
         )
-        # The next send of this test comes after the news.
+        # The reports must arrive before the test sends its next request.
         await asyncio.gather(*self.owners[number].crash_reports.tasks)
         return reply
 
 
 @pytest.fixture
 async def pair() -> AsyncIterator[Pair]:
-    wire = Wire()
+    links = DirectLinks()
     owners = []
     targets = [FragileTarget(), FragileTarget()]
     for number, target in enumerate(targets):
         table = MemberTable(MemberEntry(node=f"n{number}"))
         table.merge([MemberEntry(node="peer", peer_address="127.0.0.1:1")])
-        reports = CrashReports(table, wire, SystemClock())
-        wire.nodes.append(reports)
+        reports = CrashReports(table, links, SystemClock())
+        links.nodes.append(reports)
         owner = Owner(RequestSettings(), SystemClock(), reports)
         owner.set_target(Target("stock", await target.start(), 10))
         owners.append(owner)
@@ -118,19 +118,21 @@
         target.server.close()
 
 
-async def test_poison_costs_two_targets_and_its_neighbour_nothing(
+async def test_poison_request_is_quarantined_and_its_companion_is_not(
     pair: Pair,
 ) -> None:
-    """A look-up crashes the target it runs on, beside another caller's.
+    """Guards against a request that crashes every target of its upstream.
 
-    Its caller sends it again through another node. Without containment it
-    would take down every target of the upstream, one after the other.
+    A look-up crashes its target while another caller's request is in flight
+    there, and its caller retries through another node. Without containment the
+    retries crash one target after the other. The other request is lost with the
+    first crash, but its retry must run.
     """
-    neighbour = asyncio.create_task(pair.send(0, "/hold"))
+    companion = asyncio.create_task(pair.send(0, "/hold"))
     await pair.targets[0].held.wait()
     first = await pair.send(0, "/poison")
     assert first.error == "upstream_lost"
-    assert (await neighbour).error == "upstream_lost"
+    assert (await companion).error == "upstream_lost"
     second = await pair.send(1, "/poison")
     assert second.error == "upstream_lost"
     third = await pair.send(1, "/poison")
@@ -147,8 +149,13 @@
     assert [len(table.entries) for table in tables] == [1, 1]
 
 
-async def test_suspect_has_no_neighbour(pair: Pair) -> None:
-    """A suspect comes while others are at the target, and others follow."""
+async def test_suspect_runs_in_isolation(pair: Pair) -> None:
+    """Guards against running a suspect request next to other requests.
+
+    A suspect arrives while another request is at the target, and further
+    requests follow. The suspect and the later requests must wait until the
+    suspect can run in isolation.
+    """
     held = asyncio.create_task(pair.send(0, "/hold"))
     await pair.targets[0].held.wait()
     reports = pair.owners[0].crash_reports
@@ -171,8 +178,11 @@
     assert reports.check(suspect) is QuarantineState.CLEAR
 
 
-async def test_one_broken_connection_is_no_crash(pair: Pair) -> None:
-    """A target closes one connection in the middle of a request."""
+async def test_single_broken_connection_is_not_a_crash(pair: Pair) -> None:
+    """Guards against reporting a crash for a single broken connection.
+
+    A target that keeps running closes one connection during a request.
+    """
     held = asyncio.create_task(pair.send(0, "/hold"))
     await pair.targets[0].held.wait()
     pair.targets[0].writers[0].transport.abort()
