--- a/packages/pomelobank-cli/src/pomelobank_cli/__init__.py
+++ b/packages/pomelobank-cli/src/pomelobank_cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command line of pomelobank."""
+"""Command line by which operators manage a pomelobank mesh."""
 
 from pomelobank_cli._exit_status import ExitStatus
 from pomelobank_cli._main import main
--- a/packages/pomelobank-cli/src/pomelobank_cli/_commands.py
+++ b/packages/pomelobank-cli/src/pomelobank_cli/_commands.py
@@ -1,4 +1,4 @@
-"""The commands; each talks to one node."""
+"""The commands; each command calls one node."""
 
 import argparse
 import getpass
@@ -38,9 +38,9 @@
     pb.CHANGE_ACCEPTED: ExitStatus.OK,
     pb.CHANGE_REJECTED: ExitStatus.REJECTED,
 }
-_POLL_S = 0.1
-_MAX_NAMES = 3
-_ASK_AGAIN_MS = 1000
+_POLL_PERIOD_S = 0.1
+_MAX_SHOWN_NAMES = 3
+_RETRY_AFTER_MS = 1000
 _SECONDS_PER_MS = 0.001
 
 
@@ -49,8 +49,8 @@
     """A connection to one node.
 
     Attributes:
-        stub: The node's remote procedure calls.
-        timeout_s: Longest wait for one call, in seconds.
+        stub: Stub of the node's remote procedure calls.
+        timeout_s: Time-out of one call, in seconds.
     """
 
     stub: OperatorStub
@@ -58,12 +58,12 @@
 
     @classmethod
     def connect(cls, address: str, timeout_s: float) -> "Client":
-        """Opens a connection."""
+        """Returns a client of the node at an address of the form IP:PORT."""
         return cls(OperatorStub(grpc.insecure_channel(address)), timeout_s)
 
 
 def run_apply(client: Client, options: argparse.Namespace) -> ExitStatus:
-    """Makes the configuration match a file."""
+    """Applies the changes that make the configuration match a file."""
     document = build(ConfigDocument, read_yaml(options.file))
     current = client.stub.GetConfig(
         pb.GetConfigRequest(), timeout=client.timeout_s
@@ -83,14 +83,15 @@
         print_json(_apply_document(reply, steps, options.dry_run))
     else:
         _print_steps(steps)
-        _print_verdict(reply, options.dry_run)
+        _print_outcome(reply, options.dry_run)
     return _STATUS_EXITS[reply.status]
 
 
 def _send(client: Client, request: pb.ApplyRequest) -> pb.ApplyReply:
-    # The node may have published the change before it died or the stream
-    # broke. An operator who is told no more than "no answer" would have no id
-    # to ask by, and might apply it anew over somebody else's change.
+    # The node may have published the change before it crashed or the
+    # connection broke. The output therefore names the change id: an operator
+    # without the id could not query the outcome, and a second change could
+    # overwrite a change that another operator made in between.
     try:
         reply: pb.ApplyReply = client.stub.Apply(
             request, timeout=client.timeout_s
@@ -99,7 +100,7 @@
         return pb.ApplyReply(
             change_id=request.change_id,
             status=pb.CHANGE_UNKNOWN,
-            retry_after_ms=_ASK_AGAIN_MS,
+            retry_after_ms=_RETRY_AFTER_MS,
         )
     return reply
 
@@ -113,7 +114,8 @@
         )
     else:
         print(
-            f"unchanged: everything is as written at version {current.version}"
+            f"unchanged: the configuration at version {current.version} already"
+            " matches the document"
         )
     return ExitStatus.OK
 
@@ -137,21 +139,21 @@
         for name in sorted(step.before.keys() | step.after.keys()):
             before, after = step.before.get(name), step.after.get(name)
             if before != after and name != "name":
-                print(f"    {name}: {_text(before)} -> {_text(after)}")
+                print(f"    {name}: {_as_text(before)} -> {_as_text(after)}")
 
 
-def _text(value: object) -> str:
+def _as_text(value: object) -> str:
     return "(none)" if value is None else json.dumps(value)
 
 
-def _print_verdict(reply: pb.ApplyReply, dry_run: bool) -> None:
+def _print_outcome(reply: pb.ApplyReply, dry_run: bool) -> None:
     if reply.status == pb.CHANGE_ACCEPTED:
-        where = (
+        outcome = (
             "would be accepted"
             if dry_run
             else f"accepted: version {reply.version}"
         )
-        print(where)
+        print(outcome)
     elif reply.status == pb.CHANGE_REJECTED:
         print("rejected: nothing was changed")
         for problem in reply.problems:
@@ -164,19 +166,19 @@
 
 
 def run_change(client: Client, options: argparse.Namespace) -> ExitStatus:
-    """Looks up an earlier change."""
+    """Prints the outcome of an earlier change."""
     reply = client.stub.GetChange(
         pb.ChangeRequest(change_id=options.change_id), timeout=client.timeout_s
     )
     if options.output == "json":
         print_json(_apply_document(reply, [], False))
     else:
-        _print_verdict(reply, False)
+        _print_outcome(reply, False)
     return _STATUS_EXITS[reply.status]
 
 
 def run_get(client: Client, options: argparse.Namespace) -> ExitStatus:
-    """Prints the configuration."""
+    """Prints the configuration in force at the node."""
     reply = client.stub.GetConfig(
         pb.GetConfigRequest(), timeout=client.timeout_s
     )
@@ -212,7 +214,7 @@
             ),
             entry.author,
             _STATUS_NAMES[entry.status],
-            _shorten(list(entry.objects)),
+            _abbreviate(list(entry.objects)),
             entry.reason,
             entry.change_id,
         ]
@@ -231,47 +233,51 @@
     return ExitStatus.OK
 
 
-def _shorten(names: list[str]) -> str:
-    shown = ", ".join(names[:_MAX_NAMES])
-    hidden = len(names) - _MAX_NAMES
+def _abbreviate(names: list[str]) -> str:
+    shown = ", ".join(names[:_MAX_SHOWN_NAMES])
+    hidden = len(names) - _MAX_SHOWN_NAMES
     return f"{shown} and {hidden} more" if hidden > 0 else shown
 
 
 def run_status(client: Client, options: argparse.Namespace) -> ExitStatus:
-    """Prints the fleet's state, waiting for a version where asked to."""
+    """Prints the state of all members, optionally once they have a version."""
     deadline = time.monotonic() + options.timeout
     while True:
         reply = client.stub.GetStatus(
             pb.StatusRequest(), timeout=client.timeout_s
         )
-        behind = _behind(reply, options.wait)
+        behind = _lagging_nodes(reply, options.wait)
         if not behind or options.wait is None or time.monotonic() > deadline:
             break
-        time.sleep(_POLL_S)
+        time.sleep(_POLL_PERIOD_S)
     _print_status(reply, behind, options.output)
     return ExitStatus.TIMED_OUT if behind else ExitStatus.OK
 
 
-def _behind(reply: pb.StatusReply, wanted: int | None) -> dict[str, str]:
-    """Returns the nodes that lack a version, and why as far as is known."""
-    if wanted is None:
+def _lagging_nodes(
+    reply: pb.StatusReply, awaited: int | None
+) -> dict[str, str]:
+    """Returns the nodes that lack a version, each with the likely reason."""
+    if awaited is None:
         return {}
     return {
-        member.node: _reason(reply, member, wanted)
+        member.node: _lag_reason(reply, member, awaited)
         for member in reply.members
-        if member.state != "gone" and member.version < wanted
+        if member.state != "gone" and member.version < awaited
     }
 
 
-def _reason(reply: pb.StatusReply, member: pb.MemberStatus, wanted: int) -> str:
+def _lag_reason(
+    reply: pb.StatusReply, member: pb.MemberStatus, awaited: int
+) -> str:
     if member.state == "suspect":
         return "does not answer other members"
     if member.state == "starting":
         return "is still starting"
     if reply.log_state != "up" and member.node == reply.node:
         return "cannot read the log"
-    if reply.version < wanted:
-        return f"{reply.node} itself has not seen version {wanted}"
+    if reply.version < awaited:
+        return f"{reply.node} itself has not seen version {awaited}"
     return "has not received the records yet"
 
 
--- a/packages/pomelobank-cli/src/pomelobank_cli/_exit_status.py
+++ b/packages/pomelobank-cli/src/pomelobank_cli/_exit_status.py
@@ -1,18 +1,19 @@
-"""Exit statuses that a script can rely on."""
+"""Exit statuses of the command line, stable for scripts."""
 
 import enum
 
 
 class ExitStatus(enum.IntEnum):
-    """How a command ended.
+    """Outcome of a command.
 
     Attributes:
-        OK: It did what it was asked for.
-        REJECTED: The change was rejected; the reasons are shown.
-        BAD_INPUT: The command line or a file is wrong.
-        UNKNOWN: The outcome is not known; ask again with the change id.
-        UNREACHABLE: The node did not answer.
-        TIMED_OUT: What was waited for did not happen in time.
+        OK: The command succeeded.
+        REJECTED: The change was rejected; the output lists the reasons.
+        BAD_INPUT: The command line or a file is invalid.
+        UNKNOWN: The outcome of the change is unknown; `pomelobank change` with
+            the change id queries the outcome.
+        UNREACHABLE: The node did not respond.
+        TIMED_OUT: Some members lacked the awaited version when the wait ended.
     """
 
     OK = 0
--- a/packages/pomelobank-cli/src/pomelobank_cli/_main.py
+++ b/packages/pomelobank-cli/src/pomelobank_cli/_main.py
@@ -1,4 +1,4 @@
-"""The `pomelobank` binary."""
+"""Entry point of the `pomelobank` command: arguments and exit status."""
 
 import argparse
 import os
@@ -20,17 +20,25 @@
   pomelobank --node 127.0.0.1:7004 apply mesh.yaml --dry-run
   pomelobank apply mesh.yaml --reason "new shade range"
   pomelobank status --wait 12 --timeout 11
-  pomelobank get --output yaml > before.yaml     # keep, to roll back with
-  pomelobank apply before.yaml --prune           # roll back to it
+  pomelobank get --output yaml > before.yaml     # backup for a roll-back
+  pomelobank apply before.yaml --prune           # roll back
   pomelobank audit --limit 5 --output json
 
-exit status: 0 done, 1 rejected, 2 bad input, 3 outcome unknown (ask again
-with the change id), 4 node unreachable, 5 not reached in time.
+exit status: 0 success, 1 change rejected, 2 invalid input, 3 outcome unknown
+(query the outcome with 'pomelobank change ID'), 4 node unreachable, 5 the
+awaited version did not reach all members before --timeout.
 """
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs one command; returns the exit status."""
+    """Runs one command.
+
+    Args:
+        arguments: Command-line arguments; None to use `sys.argv`.
+
+    Returns:
+        The exit status.
+    """
     options = _parser().parse_args(arguments)
     if not options.node:
         return _fail(
@@ -40,10 +48,12 @@
     client = _commands.Client.connect(options.node, options.call_timeout)
     try:
         status = int(options.run(client, options))
-        # A reader such as `head` may have gone; that shows only on flushing.
+        # If the output's reader, such as `head`, has closed the pipe, only the
+        # flush raises BrokenPipeError.
         sys.stdout.flush()
     except BrokenPipeError:
-        # Python flushes once more when it ends and would complain again.
+        # The interpreter flushes the output again at its exit; writing to the
+        # null device keeps that flush from printing a second error.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return int(ExitStatus.OK)
     except SchemaError as error:
@@ -51,8 +61,8 @@
     except grpc.RpcError as error:
         return _fail(
             ExitStatus.UNREACHABLE,
-            f"node {options.node} did not answer ({error.code().name.lower()});"
-            " try another node of the mesh",
+            f"node {options.node} did not respond"
+            f" ({error.code().name.lower()}); try another node of the mesh",
         )
     return status
 
@@ -79,7 +89,7 @@
         "--call-timeout",
         type=float,
         default=_DEFAULT_TIMEOUT_S,
-        help="longest wait for one call, in seconds (default: %(default)s)",
+        help="time-out of one call, in seconds (default: %(default)s)",
     )
     parser.set_defaults(file=None)
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
@@ -105,25 +115,29 @@
 
 def _add_apply(commands: _Commands) -> None:  # type: ignore[valid-type]
     command = _add(commands, "apply", "make the configuration match a file")
-    command.add_argument("file", type=Path, help="the document, YAML")
-    command.add_argument("--author", default="", help="who asks for the change")
-    command.add_argument("--reason", default="", help="why")
+    command.add_argument("file", type=Path, help="configuration document, YAML")
+    command.add_argument("--author", default="", help="author of the change")
+    command.add_argument("--reason", default="", help="reason for the change")
     command.add_argument(
-        "--change-id", default="", help="id of the change; a repeat is safe"
+        "--change-id",
+        default="",
+        help="id of the change; a repeat is applied once",
     )
     command.add_argument(
-        "--dry-run", action="store_true", help="show the difference only"
+        "--dry-run",
+        action="store_true",
+        help="show the difference without a change",
     )
     command.add_argument(
         "--prune",
         action="store_true",
-        help="also delete every object that the file does not name",
+        help="also delete every object that the file does not contain",
     )
     command.set_defaults(run=_commands.run_apply)
 
 
 def _add_change(commands: _Commands) -> None:  # type: ignore[valid-type]
-    command = _add(commands, "change", "look up an earlier change")
+    command = _add(commands, "change", "print the outcome of an earlier change")
     command.add_argument("change_id")
     command.set_defaults(run=_commands.run_change)
 
@@ -136,17 +150,23 @@
 def _add_audit(commands: _Commands) -> None:  # type: ignore[valid-type]
     command = _add(commands, "audit", "print the audit trail, newest first")
     command.add_argument("--limit", type=int, default=0)
-    command.add_argument("--author", default="", help="only this author's")
     command.add_argument(
-        "--object", default="", help="only this object's, such as route/stock"
+        "--author", default="", help="only changes by this author"
+    )
+    command.add_argument(
+        "--object",
+        default="",
+        help="only changes of this object, such as route/stock",
     )
     command.set_defaults(run=_commands.run_audit)
 
 
 def _add_status(commands: _Commands) -> None:  # type: ignore[valid-type]
-    command = _add(commands, "status", "print the state of the fleet")
+    command = _add(commands, "status", "print the state of all members")
     command.add_argument(
-        "--wait", type=int, help="wait until every member has this version"
+        "--wait",
+        type=int,
+        help="wait until every present member has this version",
     )
     command.add_argument(
         "--timeout", type=float, default=11.0, help="longest wait, in seconds"
--- a/packages/pomelobank-cli/src/pomelobank_cli/_output.py
+++ b/packages/pomelobank-cli/src/pomelobank_cli/_output.py
@@ -1,4 +1,4 @@
-"""Prints results: tables for people, JSON for scripts."""
+"""Output formats: tables for people, JSON and YAML for programs."""
 
 import json
 from collections.abc import Sequence
@@ -21,21 +21,22 @@
 
 
 def as_document(message: Message) -> dict[str, Any]:
-    """Returns a message as a JSON document that names every field.
+    """Returns a message as a JSON document that contains every field.
 
-    Protocol buffers write 64-bit numbers as text, for readers that know
-    floating-point numbers only; a script that compares versions wants numbers.
+    The JSON mapping of Protocol Buffers encodes 64-bit integers as strings,
+    because some JSON parsers only have floating-point numbers. This function
+    converts them back to integers, so that scripts can compare versions.
     """
     document = MessageToDict(
         message,
         preserving_proto_field_name=True,
         always_print_fields_with_no_presence=True,
     )
-    _restore_numbers(message.DESCRIPTOR, document)
+    _restore_integers(message.DESCRIPTOR, document)
     return dict(document)
 
 
-def _restore_numbers(descriptor: Any, document: dict[str, Any]) -> None:
+def _restore_integers(descriptor: Any, document: dict[str, Any]) -> None:
     for field in descriptor.fields:
         value = document.get(field.name)
         if value is None:
@@ -44,11 +45,11 @@
             document[field.name] = int(value)
         elif field.cpp_type == FieldDescriptor.CPPTYPE_MESSAGE:
             for item in value if isinstance(value, list) else [value]:
-                _restore_numbers(field.message_type, item)
+                _restore_integers(field.message_type, item)
 
 
 def print_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
-    """Prints rows under a header, columns aligned.
+    """Prints rows under a header with aligned columns.
 
     >>> print_table(["NODE", "V"], [["a", "12"]])
     NODE  V
@@ -56,7 +57,7 @@
     """
     table = [list(header), *(list(row) for row in rows)]
     widths = [
-        max(len(row[place]) for row in table) for place in range(len(header))
+        max(len(row[column]) for row in table) for column in range(len(header))
     ]
     for row in table:
         cells = (
--- a/packages/pomelobank-cli/src/pomelobank_cli/_plan.py
+++ b/packages/pomelobank-cli/src/pomelobank_cli/_plan.py
@@ -1,4 +1,4 @@
-"""Works out the operations that lead from a configuration to a document."""
+"""Computes the operations that make the configuration match a document."""
 
 import attrs
 
@@ -13,14 +13,17 @@
 
 @attrs.frozen
 class PlannedStep:
-    """One operation and how it reads for people.
+    """One operation of a change and its description for operators.
 
     Attributes:
-        mark: "+" for a new object, "~" for a changed one, "-" for a deleted.
+        mark: "+" for a created object, "~" for an updated object, "-" for a
+            deleted object.
         key: The object's key, such as "route/stock".
         operation: The operation.
-        before: The object's fields before, none for a new one.
-        after: The object's fields after, none for a deleted one.
+        before: Fields of the object before the change; empty for a created
+            object.
+        after: Fields of the object after the change; empty for a deleted
+            object.
     """
 
     mark: str
@@ -37,7 +40,7 @@
 
 
 def object_fields(message: pb.ConfigObject) -> dict[str, object]:
-    """Returns the fields of an object by name."""
+    """Returns the fields of an object, by field name."""
     inner = getattr(message, message.WhichOneof("object"))
     return as_document(inner)
 
@@ -48,28 +51,28 @@
     """Returns the steps that make the configuration match the document.
 
     Args:
-        current: The configuration as it was read.
-        document: What the operator wants.
-        prune: Whether to delete every object that the document does not name.
+        current: The configuration that the node returned.
+        document: The operator's document.
+        prune: Whether to delete all objects that the document does not contain.
 
     Returns:
-        The steps; none where everything is as written.
+        The steps; empty where the configuration already matches.
 
     Raises:
-        SchemaError: If the document deletes what is not there.
+        SchemaError: If the document deletes an object that does not exist.
     """
-    known = {object_key(item): item for item in current.objects}
-    wanted = {object_key(item): item for item in _wanted(document)}
+    existing = {object_key(item): item for item in current.objects}
+    desired = {object_key(item): item for item in _desired_objects(document)}
     deleted = list(document.delete)
     if prune:
-        deleted += [key for key in known if key not in wanted]
-    steps = [_put_step(known, item) for item in wanted.values()]
-    steps += [_delete_step(known, key) for key in dict.fromkeys(deleted)]
+        deleted += [key for key in existing if key not in desired]
+    steps = [_put_step(existing, item) for item in desired.values()]
+    steps += [_delete_step(existing, key) for key in dict.fromkeys(deleted)]
     return [step for step in steps if step is not None]
 
 
 def document_of(current: pb.GetConfigReply) -> dict[str, object]:
-    """Returns a configuration as a document that `apply` takes again."""
+    """Returns a configuration as a document that `apply` accepts."""
     return {
         f"{kind}s": [
             object_fields(item)
@@ -80,41 +83,41 @@
     }
 
 
-def _wanted(document: ConfigDocument) -> list[pb.ConfigObject]:
-    wanted = [object_message(item) for item in document.services]
-    wanted += [object_message(item) for item in document.upstreams]
-    return wanted + [object_message(item) for item in document.routes]
+def _desired_objects(document: ConfigDocument) -> list[pb.ConfigObject]:
+    objects = [object_message(item) for item in document.services]
+    objects += [object_message(item) for item in document.upstreams]
+    return objects + [object_message(item) for item in document.routes]
 
 
 def _put_step(
-    known: dict[str, pb.ConfigObject], wanted: pb.ConfigObject
+    existing: dict[str, pb.ConfigObject], desired: pb.ConfigObject
 ) -> PlannedStep | None:
-    key = object_key(wanted)
-    found = known.get(key)
-    after = object_fields(wanted)
-    before = object_fields(found) if found is not None else {}
-    if found is not None and before == after:
+    key = object_key(desired)
+    current = existing.get(key)
+    after = object_fields(desired)
+    before = object_fields(current) if current is not None else {}
+    if current is not None and before == after:
         return None
     operation = pb.Operation(
         kind=pb.Operation.PUT,
-        object=wanted,
-        expected_revision=found.revision if found is not None else 0,
+        object=desired,
+        expected_revision=current.revision if current is not None else 0,
     )
-    return PlannedStep("~" if found else "+", key, operation, before, after)
+    return PlannedStep("~" if current else "+", key, operation, before, after)
 
 
-def _delete_step(known: dict[str, pb.ConfigObject], key: str) -> PlannedStep:
-    found = known.get(key)
-    if found is None:
+def _delete_step(existing: dict[str, pb.ConfigObject], key: str) -> PlannedStep:
+    current = existing.get(key)
+    if current is None:
         raise SchemaError(
             SchemaErrorKind.OUT_OF_RANGE,
             "delete",
-            f"{key!r} does not exist; keys look like route/NAME, with"
-            f" {', '.join(_KINDS)}",
+            f"{key!r} does not exist; a key has the form KIND/NAME, where KIND"
+            f" is one of {', '.join(_KINDS)}",
         )
     operation = pb.Operation(
         kind=pb.Operation.DELETE,
-        object=found,
-        expected_revision=found.revision,
+        object=current,
+        expected_revision=current.revision,
     )
-    return PlannedStep("-", key, operation, object_fields(found), {})
+    return PlannedStep("-", key, operation, object_fields(current), {})
--- a/packages/pomelobank-cli/src/pomelobank_cli/tests/test_commands.py
+++ b/packages/pomelobank-cli/src/pomelobank_cli/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line against a node that answers as the test says."""
+"""Tests of the command line against a fake node with prepared replies."""
 
 import json
 import os
@@ -35,23 +35,23 @@
 @attrs.define(eq=False)
 class FakeNode(pb_grpc.OperatorServicer):
     config: pb.GetConfigReply = attrs.field(factory=pb.GetConfigReply)
-    verdict: pb.ApplyReply = attrs.field(factory=pb.ApplyReply)
+    reply: pb.ApplyReply = attrs.field(factory=pb.ApplyReply)
     status: pb.StatusReply = attrs.field(factory=pb.StatusReply)
-    applied: list[pb.ApplyRequest] = attrs.field(factory=list)
+    apply_requests: list[pb.ApplyRequest] = attrs.field(factory=list)
     address: str = ""
-    breaks: bool = False
+    breaks_connection: bool = False
 
     def GetConfig(self, request, context):
         return self.config
 
     def Apply(self, request, context):
-        self.applied.append(request)
-        if self.breaks:
+        self.apply_requests.append(request)
+        if self.breaks_connection:
             context.abort(grpc.StatusCode.UNAVAILABLE, "stream broke")
-        return self.verdict
+        return self.reply
 
     def GetChange(self, request, context):
-        return self.verdict
+        return self.reply
 
     def GetStatus(self, request, context):
         return self.status
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("verdict", "status", "words"),
+    ("reply", "status", "expected_text"),
     [
         pytest.param(
             pb.ApplyReply(status=pb.CHANGE_ACCEPTED, version=7),
@@ -123,35 +123,37 @@
         ),
     ],
 )
-def test_apply_says_how_it_ended(
+def test_apply_reports_the_outcome(
     node: FakeNode,
     document: Path,
     capsys: pytest.CaptureFixture[str],
-    verdict: pb.ApplyReply,
+    reply: pb.ApplyReply,
     status: ExitStatus,
-    words: str,
+    expected_text: str,
 ) -> None:
-    node.verdict = verdict
+    node.reply = reply
     assert run(node, "apply", document) == status
-    assert words in capsys.readouterr().out
+    assert expected_text in capsys.readouterr().out
 
 
-def test_apply_sends_only_what_differs(node: FakeNode, document: Path) -> None:
+def test_apply_sends_only_changed_objects(
+    node: FakeNode, document: Path
+) -> None:
     node.config = objects()
     node.config.objects[2].route.timeout_ms = 100
     run(node, "apply", document)
-    (request,) = node.applied
+    (request,) = node.apply_requests
     (operation,) = request.operations
     assert operation.expected_revision == 3
     assert operation.object.route.timeout_ms == 5000
 
 
-def test_apply_of_what_is_there_sends_nothing(
+def test_apply_without_a_difference_sends_nothing(
     node: FakeNode, document: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     node.config = objects()
     assert run(node, "apply", document) == ExitStatus.OK
-    assert node.applied == []
+    assert node.apply_requests == []
     assert "unchanged" in capsys.readouterr().out
 
 
@@ -163,24 +165,24 @@
     path = tmp_path / "before.yaml"
     path.write_text(capsys.readouterr().out)
     assert run(node, "apply", path, "--prune") == ExitStatus.OK
-    assert node.applied == []
+    assert node.apply_requests == []
 
 
-def test_prune_deletes_what_the_file_does_not_name(
+def test_prune_deletes_objects_that_the_file_does_not_contain(
     node: FakeNode, tmp_path: Path
 ) -> None:
     node.config = objects()
     path = tmp_path / "small.yaml"
     path.write_text("services: [{name: desk}]")
     run(node, "apply", path, "--prune")
-    (request,) = node.applied
+    (request,) = node.apply_requests
     kinds = [item.object.WhichOneof("object") for item in request.operations]
     assert kinds == ["upstream", "route"]
     assert {item.kind for item in request.operations} == {pb.Operation.DELETE}
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "expected_text"),
     [
         pytest.param("routes: {}", "routes: expected a list", id="type"),
         pytest.param("colour: red", "colour: unknown key", id="unknown key"),
@@ -191,42 +193,45 @@
         ),
     ],
 )
-def test_bad_files(
+def test_an_invalid_file_is_reported_in_one_line(
     node: FakeNode,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     text: str,
-    words: str,
+    expected_text: str,
 ) -> None:
     path = tmp_path / "bad.yaml"
     path.write_text(text)
     assert run(node, "apply", path) == ExitStatus.BAD_INPUT
     captured = capsys.readouterr().err
-    assert words in captured
+    assert expected_text in captured
     assert captured.count("\n") == 1
-    assert node.applied == []
+    assert node.apply_requests == []
 
 
-def test_a_node_that_is_not_there(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_unreachable_node_is_reported(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     status = main(["--node", "127.0.0.1:9", "--call-timeout", "1", "get"])
     assert status == ExitStatus.UNREACHABLE
     assert "try another node" in capsys.readouterr().err
 
 
-def test_a_node_that_dies_with_the_change_in_its_hands(
+def test_a_node_that_crashes_before_its_reply_leaves_the_outcome_unknown(
     node: FakeNode, document: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The node publishes a change and dies before it answers.
+    """Failure: a node publishes a change and crashes before it replies.
 
-    The operator is told that the outcome is unknown, with the id to ask by.
+    The output must report the outcome as unknown and name the change id, so
+    that the operator can query the outcome.
     """
-    node.breaks = True
+    node.breaks_connection = True
     status = run(node, "apply", document, "--change-id", "c7")
     assert status == ExitStatus.UNKNOWN
     assert "pomelobank change c7" in capsys.readouterr().out
 
 
-def test_json_has_numbers_for_versions(
+def test_json_contains_versions_as_integers(
     node: FakeNode, capsys: pytest.CaptureFixture[str]
 ) -> None:
     node.config = objects()
@@ -236,10 +241,14 @@
     assert [item["revision"] for item in shown["objects"]] == [1, 1, 3]
 
 
-def test_a_reader_that_goes_away_ends_the_command_quietly(
+def test_a_closed_output_pipe_ends_the_command_without_an_error(
     node: FakeNode,
 ) -> None:
-    """The output is piped into a command that reads a few lines and ends."""
+    """Failure: the output is piped into a command that exits after a few lines.
+
+    Python then raises BrokenPipeError at the next flush. The command must end
+    with status 0 and print no error.
+    """
     node.config = objects()
     command = [sys.executable, "-m", "pomelobank_cli", "--node", node.address]
     process = subprocess.Popen(
@@ -255,7 +264,7 @@
     assert process.wait() == ExitStatus.OK
 
 
-def test_status_names_the_nodes_behind(
+def test_status_names_the_nodes_that_lack_the_version(
     node: FakeNode, capsys: pytest.CaptureFixture[str]
 ) -> None:
     node.status.node = "a"
