--- a/packages/pomelobank-core/src/pomelobank_core/_claim_attempts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claim_attempts.py
@@ -1,4 +1,4 @@
-"""One try of a node to claim a key and run its request."""
+"""One attempt of a node to claim a key and run the key's request."""
 
 import enum
 
@@ -9,13 +9,14 @@
 
 
 class ClaimAttemptState(enum.Enum):
-    """How far an attempt has come.
+    """State of an attempt.
 
     Attributes:
-        PENDING: The claim was not seen in the stream yet.
+        PENDING: The node has not yet read the claim in the stream.
         RUNNING: The claim holds the key and the request may be at a target.
-        ABANDONED: Given up before the claim was seen; it must never run.
-        ENDED: Nothing is left to do.
+        ABANDONED: The node gave the attempt up before it read the claim, so
+            the request must never run.
+        ENDED: The attempt needs no further step.
     """
 
     PENDING = "pending"
@@ -25,15 +26,17 @@
 
 
 class ClaimAttemptStep(enum.Enum):
-    """What the node has to do next.
+    """Next step that the node has to take for an attempt.
 
     Attributes:
-        NOTHING: Nothing.
-        RUN: Run the request, once.
-        LOST: Answer by what the key's holder did.
-        EXPIRED: Release the claim; answer that the deadline passed, not run.
-        RELEASE: Release the claim.
-        COMPLETE: Record how the request ended.
+        NOTHING: The node takes no step.
+        RUN: The node runs the request once.
+        LOST: Another claim holds the key; the node responds to the caller with
+            the outcome of that claim.
+        EXPIRED: The node releases the claim and responds that the deadline
+            passed and the request was not run.
+        RELEASE: The node releases the claim.
+        COMPLETE: The node records the outcome of the request in the log.
     """
 
     NOTHING = "nothing"
@@ -46,13 +49,13 @@
 
 @attrs.frozen
 class ClaimAttempt:
-    """A try to claim a key.
+    """An attempt to claim a key.
 
     Attributes:
-        claim_id: Identity of its claim.
+        claim_id: Identity of the attempt's claim.
         key: The claim key.
-        deadline_ms: When the request must have ended, on the node's clock.
-        state: How far it has come.
+        deadline_ms: Deadline of the request, on the node's clock.
+        state: State of the attempt.
     """
 
     claim_id: ClaimId
@@ -64,7 +67,7 @@
 def on_claim_seen(
     attempt: ClaimAttempt, won: bool, now_ms: int
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
-    """The claim came by in the stream.
+    """Handles the attempt's claim when the node reads it in the stream.
 
     Args:
         attempt: The attempt.
@@ -72,13 +75,13 @@
         now_ms: Current time on the node's clock.
 
     Returns:
-        The attempt afterwards and what to do.
+        The updated attempt and the next step.
     """
     ended = attrs.evolve(attempt, state=ClaimAttemptState.ENDED)
     if attempt.state is ClaimAttemptState.ABANDONED:
-        # The caller was told that it did not run. The append took effect all
-        # the same; unless the claim is released, the caller's next sending
-        # would find the key held by a request that never runs.
+        # The caller was told that the request did not run, but the append took
+        # effect after all. Without a release, a retry by the caller would find
+        # the key held by a request that never runs.
         return (
             ended,
             ClaimAttemptStep.RELEASE if won else ClaimAttemptStep.NOTHING,
@@ -88,7 +91,8 @@
     if not won:
         return ended, ClaimAttemptStep.LOST
     if now_ms >= attempt.deadline_ms:
-        # The node was paused or the log slow: nobody waits for this answer.
+        # The node was paused or the log was slow, so the caller no longer
+        # waits for the response.
         return ended, ClaimAttemptStep.EXPIRED
     return attrs.evolve(
         attempt, state=ClaimAttemptState.RUNNING
@@ -96,9 +100,10 @@
 
 
 def abandon(attempt: ClaimAttempt) -> ClaimAttempt:
-    """The wait for the claim is over, or the caller has gone.
+    """Abandons an attempt whose wait timed out or whose caller disconnected.
 
-    An attempt that already runs goes on: it cannot be called not run.
+    A running attempt continues, because its request may be at a target and
+    must not be reported as not run.
     """
     if attempt.state is not ClaimAttemptState.PENDING:
         return attempt
@@ -108,14 +113,15 @@
 def on_run_ended(
     attempt: ClaimAttempt, run_state: RunState
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
-    """The request of a running attempt ended.
+    """Handles the end of the request of a running attempt.
 
     Args:
         attempt: The attempt.
-        run_state: Whether it ran.
+        run_state: Whether the request ran.
 
     Returns:
-        The attempt afterwards; RELEASE only where it did not run for certain.
+        The updated attempt and the next step. The step is RELEASE only if the
+        request certainly did not run.
     """
     if attempt.state is not ClaimAttemptState.RUNNING:
         return attempt, ClaimAttemptStep.NOTHING
@@ -126,10 +132,11 @@
 
 
 def combine_run_states(first: RunState, second: RunState) -> RunState:
-    """Returns what is known of a request that was sent on twice.
+    """Combines the run states of two sendings of one request.
 
-    The second sending may be refused as not run while the first still lies
-    at a paused node; the two together are not run only where both were.
+    The second sending may be rejected as not run while the first sending is
+    still queued at a paused node. The request therefore counts as not run only
+    if neither sending ran.
 
     >>> combine_run_states(RunState.UNKNOWN, RunState.NOT_RUN)
     <RunState.UNKNOWN: 'unknown'>
--- a/packages/pomelobank-core/src/pomelobank_core/_claim_batcher.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claim_batcher.py
@@ -1,4 +1,4 @@
-"""Decides when a shard's claims, releases and completions are appended."""
+"""Decides when to append a shard's claims, releases and completions."""
 
 import math
 from collections import deque
@@ -11,16 +11,19 @@
 ItemT = TypeVar("ItemT")
 
 _MS_PER_S = 1000
-# A batch of 256 claims is about 12 KB, well under what one append takes, and
-# at the slowest rate of one append a second still carries 256 keys a second.
+# Maximum number of items in a batch. A batch of 256 claims is about 12 KB, well
+# below the size limit of an append; at the minimum rate of one append a second,
+# a shard still accepts 256 keys a second.
 MAX_BATCH = 256
-# Appends saved up in quiet moments let the next few claims go out at once;
-# all sixteen shards together can surprise the log with 64 of them.
+# Capacity of the shard's token bucket of appends. While a shard is idle, the
+# bucket fills, so that the next few claims are appended without delay. All
+# sixteen shards together can send the log a burst of 64 appends.
 MAX_SAVED_APPENDS = 4.0
-# Records that nobody waits for ride along with the next claim; without one
-# they go out after this time, soon enough for a caller that sends again
-# through another node after a crash.
+# Deferred records are appended together with the next claim, or after this time
+# if no claim arrives. The limit is short enough that a caller that retries
+# through another node after a crash finds the record.
 LAZY_WAIT_MS = 200
+# Exponential back-off after failed appends: first and longest pause.
 FIRST_PAUSE_MS = 200
 MAX_PAUSE_MS = 2000
 
@@ -29,21 +32,25 @@
 class ClaimBatcher(Generic[ItemT]):
     """Queue and append budget of one shard.
 
-    Made for bursts of keyed requests on a log that takes several hundred
-    appends a second from everybody. One append at a time and a fixed rate
-    bound what the shard costs the log; what comes in meanwhile shares the
-    next append. A claim that could not be appended before its deadline is
-    refused at once, because a queue that cannot drain only delays the answer.
+    The log takes several hundred appends a second from all its clients, so a
+    burst of keyed requests could overload it. The shard therefore makes one
+    append at a time and limits the rate of appends; items that arrive during
+    an append share the next one. The batcher rejects a claim at once if it
+    could not be appended before the caller's deadline, because a queue that
+    cannot drain only delays the rejection.
 
     Attributes:
-        appends_per_s: Appends per second.
+        appends_per_s: Appends that the shard may make per second.
         urgent: Items that a caller waits for.
-        deferred: Items that nobody waits for.
-        saved: Appends that may be made at once.
+        deferred: Items that no caller waits for.
+        saved: Tokens in the bucket: appends that may be made without delay.
+        saved_at_ms: When the bucket was last refilled.
+        lazy_since_ms: Start of the wait of the deferred items.
         appending: Whether an append is under way.
-        append_ms: Recent time of an append, smoothed.
-        paused_until_ms: No append before this time, after a failed one.
-        rejected: Items turned away.
+        append_ms: Moving average of the duration of an append.
+        paused_until_ms: End of the pause after a failed append.
+        pause_ms: Length of that pause; 0 after a successful append.
+        rejected: Items that were rejected.
     """
 
     appends_per_s: float
@@ -61,15 +68,15 @@
     def offer(
         self, item: ItemT, now_ms: int, patience_ms: int
     ) -> Result[None, int]:
-        """Takes an item that a caller waits for.
+        """Queues an item that a caller waits for, or rejects it.
 
         Args:
             item: The item.
             now_ms: Current time.
-            patience_ms: How long its caller can wait for the append.
+            patience_ms: How long the caller can wait for the append.
 
         Returns:
-            Nothing, or the ms after which coming back is worthwhile.
+            Success, or the time in ms after which the caller should retry.
         """
         if now_ms < self.paused_until_ms:
             self.rejected += 1
@@ -82,79 +89,81 @@
         return Success(None)
 
     def defer(self, item: ItemT, now_ms: int) -> None:
-        """Takes an item that nobody waits for."""
+        """Queues an item that no caller waits for."""
         if not self.deferred:
             self.lazy_since_ms = now_ms
         self.deferred.append(item)
 
     def _expected_wait_ms(self, now_ms: int) -> int:
-        self._save(now_ms)
+        self._refill(now_ms)
         batches = len(self.urgent) // MAX_BATCH + 1 + self.appending
-        short = max(0.0, batches - self.saved)
-        by_rate = short * _MS_PER_S / self.appends_per_s
-        return math.ceil(max(by_rate, batches * self.append_ms))
+        missing = max(0.0, batches - self.saved)
+        rate_wait_ms = missing * _MS_PER_S / self.appends_per_s
+        return math.ceil(max(rate_wait_ms, batches * self.append_ms))
 
-    def _save(self, now_ms: int) -> None:
-        gained = (now_ms - self.saved_at_ms) * self.appends_per_s / _MS_PER_S
-        self.saved = min(MAX_SAVED_APPENDS, self.saved + max(0.0, gained))
+    def _refill(self, now_ms: int) -> None:
+        refilled = (now_ms - self.saved_at_ms) * self.appends_per_s / _MS_PER_S
+        self.saved = min(MAX_SAVED_APPENDS, self.saved + max(0.0, refilled))
         self.saved_at_ms = now_ms
 
     def wait_ms(self, now_ms: int) -> int | None:
-        """Returns when to ask for a batch, None where nothing is to be done.
+        """Returns how long to wait before the next call of `next_batch`.
 
         Returns:
-            Ms from now, 0 for at once.
+            Time in ms, 0 if a batch is due now; None if an append is under way
+            or the queues are empty.
         """
         if self.appending or not (self.urgent or self.deferred):
             return None
-        self._save(now_ms)
+        self._refill(now_ms)
         waits = [0, self.paused_until_ms - now_ms]
         needed = 1.0
         if not self.urgent:
-            # What nobody waits for goes out only when the others stay saved,
-            # so that the next claims do not wait for the budget behind it.
+            # An append of deferred items alone waits until the bucket is full,
+            # so that the claims that follow still find tokens.
             needed = MAX_SAVED_APPENDS
             waits.append(self.lazy_since_ms + LAZY_WAIT_MS - now_ms)
-        short = max(0.0, needed - self.saved)
-        waits.append(math.ceil(short * _MS_PER_S / self.appends_per_s))
+        missing = max(0.0, needed - self.saved)
+        waits.append(math.ceil(missing * _MS_PER_S / self.appends_per_s))
         return max(waits)
 
     def next_batch(self, now_ms: int) -> list[ItemT]:
-        """Returns the items of the next append; only when `wait_ms` is 0."""
-        self._save(now_ms)
+        """Returns the items of the next append; call it if `wait_ms` is 0."""
+        self._refill(now_ms)
         self.saved -= 1.0
         self.appending = True
         batch = _pop(self.urgent, MAX_BATCH)
         return batch + _pop(self.deferred, MAX_BATCH)
 
     def on_appended(self, began_ms: int, now_ms: int) -> None:
-        """The append took effect and its answer came."""
+        """Handles the log's confirmation of an append."""
         self.appending = False
         self.pause_ms = 0
         self.append_ms += ((now_ms - began_ms) - self.append_ms) / 8
 
     def on_append_failed(
-        self, now_ms: int, again: Sequence[ItemT]
+        self, now_ms: int, to_retry: Sequence[ItemT]
     ) -> list[ItemT]:
-        """The append failed, or nobody knows whether it took effect.
+        """Handles an append that failed or whose effect is unknown.
 
-        Made for an outage of the log: without a pause every keyed request
-        would cost the log a call and its caller the whole wait. One append
-        is tried after each pause; until then callers are refused at once.
+        During an outage of the log, each keyed request would otherwise cost
+        the log a call and its caller the whole wait. The batcher therefore
+        attempts one append after each pause and rejects claims during the
+        pause at once.
 
         Args:
             now_ms: Current time.
-            again: Items of the append that must be appended again.
+            to_retry: Items of the append that must be appended again.
 
         Returns:
-            Items that waited and must be refused now.
+            Queued items that the caller of this method must reject now.
         """
         self.appending = False
         self.pause_ms = min(
             MAX_PAUSE_MS, max(FIRST_PAUSE_MS, 2 * self.pause_ms)
         )
         self.paused_until_ms = now_ms + self.pause_ms
-        for item in reversed(again):
+        for item in reversed(to_retry):
             self.deferred.appendleft(item)
         self.lazy_since_ms = now_ms
         waiting = list(self.urgent)
--- a/packages/pomelobank-core/src/pomelobank_core/_claim_responses.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claim_responses.py
@@ -1,25 +1,25 @@
-"""Answers kept for callers that send their key again."""
+"""Responses kept for callers that send an idempotency key again."""
 
 import attrs
 
 from pomelobank_core._claims import StoredResponse
 
-# What an entry costs beside the answer itself.
+# Estimated memory of an entry beside its response.
 _ENTRY_BYTES = 200
 
 
 @attrs.define
 class ResponseStore:
-    """Answers by claim key, the oldest dropped first.
+    """Responses by claim key; the oldest response is evicted first.
 
-    A dropped answer does no harm to the claim: its key stays claimed, and a
-    caller that sends it again learns that the request ran.
+    The eviction of a response does not free its key: the key stays claimed, so
+    a caller that sends the key again is told that the request ran.
 
     Attributes:
-        max_bytes: Most bytes that are kept.
-        responses: The answers, oldest first.
-        stored_bytes: Bytes that they take.
-        evicted: Answers dropped for want of room.
+        max_bytes: Maximum size of the stored responses and their entries.
+        responses: The responses by claim key, oldest first.
+        stored_bytes: Size of the stored responses and their entries.
+        evicted: Responses that were evicted, or were larger than the store.
 
     >>> store = ResponseStore(max_bytes=450)
     >>> for key in (b"a", b"b", b"c"):
@@ -33,25 +33,25 @@
     stored_bytes: int = 0
     evicted: int = 0
 
-    def put(self, key: bytes, answer: StoredResponse) -> None:
-        """Keeps an answer; one that is larger than the store is not kept."""
+    def put(self, key: bytes, response: StoredResponse) -> None:
+        """Stores a response, unless it is larger than the whole store."""
         self.remove(key)
-        size = answer.size_bytes + _ENTRY_BYTES
+        size = response.size_bytes + _ENTRY_BYTES
         if size > self.max_bytes:
             self.evicted += 1
             return
-        self.responses[key] = answer
+        self.responses[key] = response
         self.stored_bytes += size
         while self.stored_bytes > self.max_bytes:
             self.remove(next(iter(self.responses)))
             self.evicted += 1
 
     def remove(self, key: bytes) -> None:
-        """Drops the answer of a key, where there is one."""
-        answer = self.responses.pop(key, None)
-        if answer is not None:
-            self.stored_bytes -= answer.size_bytes + _ENTRY_BYTES
+        """Removes the response of a key if the store has one."""
+        response = self.responses.pop(key, None)
+        if response is not None:
+            self.stored_bytes -= response.size_bytes + _ENTRY_BYTES
 
     def get(self, key: bytes) -> StoredResponse | None:
-        """Returns the answer of a key."""
+        """Returns the response of a key, or None if it is not stored."""
         return self.responses.get(key)
--- a/packages/pomelobank-core/src/pomelobank_core/_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claims.py
@@ -1,11 +1,12 @@
-"""Who may run the request of an idempotency key, replayed from the log.
+"""Claims on idempotency keys, replayed from the log.
 
-The keys are spread over a fixed number of shards. A shard has one stream in
-the log; a node that wants to run a keyed request appends a claim there and
-reads on until it sees the claim. The first claim of a key, by offset, holds
-the key. Every reader of a stream applies this same function to the same
+A claim decides which node may run the request of an idempotency key. The keys
+are distributed over a fixed number of shards, and each shard has one stream in
+the log. A node that wants to run a keyed request appends a claim to the stream
+and reads the stream until it finds the claim. The first claim of a key, by
+offset, holds the key. Every reader applies the same function to the same
 records in the same order, so two nodes that both believe they serve a shard
-still agree on who holds a key.
+still agree on the holder of each key.
 """
 
 import enum
@@ -25,10 +26,11 @@
     ClaimRelease,
 )
 
-# The number of shards is part of where a key's claims are found: changing it
-# would look for the key in another stream, find nothing, and run a request a
-# second time. Sixteen streams spread the work over sixteen nodes and leave
-# each stream ten appends a second of a budget of 160.
+# The number of shards determines the stream of a key's claims. After a change
+# of the number, a node would look for a key's claim in another stream, find
+# none and run the request a second time. Sixteen streams distribute the work
+# over up to sixteen nodes and give each stream 10 appends a second of a budget
+# of 160.
 SHARD_COUNT = 16
 DIGEST_BYTES = 16
 
@@ -39,7 +41,7 @@
 
 
 def request_digest(method: str, target: bytes, body: bytes) -> bytes:
-    """Returns the digest that tells two requests under one key apart."""
+    """Returns the digest that detects two different requests under one key."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     digest.update(f"{method}\n".encode())
     digest.update(target + b"\n")
@@ -53,10 +55,11 @@
 
 
 def rank_claimants(shard: int, nodes: Iterable[str]) -> list[str]:
-    """Orders nodes by who should write a shard's claims, best first.
+    """Orders nodes by preference as the writer of a shard's claims, best first.
 
-    Rendezvous hashing: when a node goes, only its shards move. Views that
-    differ for a while cost a second reader of the stream, never a second run.
+    Rendezvous hashing moves only the shards of a node that leaves. While nodes
+    disagree about the members, two nodes may read the shard's stream, but a
+    request never runs twice.
     """
     return rendezvous_order(nodes, f"claims/{shard}")
 
@@ -66,8 +69,8 @@
     """Identity of one claim.
 
     Attributes:
-        writer: Node and start that wrote it.
-        number: Its number; the writer never uses it again.
+        writer: Node, and start of that node, that wrote the claim.
+        number: Number of the claim; the writer never reuses a number.
     """
 
     writer: str
@@ -76,7 +79,7 @@
 
 @attrs.frozen
 class StoredResponse:
-    """A target's answer, kept for a caller that sends its key again.
+    """A target's response, kept for a caller that sends its key again.
 
     Attributes:
         status: HTTP status.
@@ -90,18 +93,19 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes that the answer takes."""
+        """Size of the headers and the body."""
         names = sum(len(name) + len(value) for name, value in self.headers)
         return names + len(self.body)
 
 
 class ClaimStatus(enum.Enum):
-    """How far the request of a claim has come, as far as the log tells.
+    """State of a claim's request according to the log.
 
     Attributes:
-        HELD: Its holder may run it, is running it, or has died.
-        ANSWERED: The target answered.
-        UNKNOWN: It reached a target whose answer was lost.
+        HELD: The holder of the claim may run the request, is running the
+            request, or has died.
+        ANSWERED: The target responded.
+        UNKNOWN: The request reached a target, but the response was lost.
     """
 
     HELD = "held"
@@ -114,12 +118,13 @@
     """The claim that holds a key.
 
     Attributes:
-        claim_id: Its identity.
+        claim_id: Identity of the claim.
         request_digest: Digest of the request.
-        at_ms: When its batch was written, since the epoch.
-        expires_ms: When the key is forgotten, since the epoch.
-        deadline_ms: When its request must have ended, since the epoch.
-        status: How far it has come.
+        at_ms: When the claim's batch was written, since the epoch.
+        expires_ms: When the key leaves the window and is evicted, since the
+            epoch.
+        deadline_ms: Deadline of the request, since the epoch.
+        status: State of the request.
     """
 
     claim_id: ClaimId
@@ -132,12 +137,12 @@
 
 @attrs.frozen
 class ClaimSeen:
-    """A claim came by in the stream.
+    """Event: the table applied a claim from the stream.
 
     Attributes:
-        claim_id: The claim.
-        key: Its key.
-        won: Whether it holds the key.
+        claim_id: Identity of the claim.
+        key: Key of the claim.
+        won: Whether the claim holds the key.
     """
 
     claim_id: ClaimId
@@ -147,11 +152,11 @@
 
 @attrs.frozen
 class ClaimEnded:
-    """A held claim was released or completed.
+    """Event: a held claim was released or completed.
 
     Attributes:
-        key: Its key.
-        response: The answer, where the log keeps it.
+        key: Key of the claim.
+        response: The target's response if the log has it.
     """
 
     key: bytes
@@ -167,10 +172,14 @@
 
     Attributes:
         next_offset: Offset of the next record to apply.
-        stream_time_ms: Newest time seen in the stream, since the epoch.
-        complete_from_ms: Before this time claims may be missing, because the
-            log had trimmed them when reading began; 0 where none can be.
+        stream_time_ms: Newest time read in the stream, since the epoch.
+        complete_from_ms: Until this time claims may be missing, because the
+            log had trimmed them before the reader started; 0 if none can be
+            missing.
         claims: The claims that hold their keys, oldest first.
+        trimmed: Whether records were trimmed and the first kept record has not
+            been applied yet.
+        restarted_ms: When the reader last started, since the epoch.
     """
 
     next_offset: int = 0
@@ -181,7 +190,7 @@
     restarted_ms: int = 0
 
     def reset(self, first_offset: int, now_ms: int) -> None:
-        """Begins again at the oldest record that the log still keeps.
+        """Clears the table to replay from the oldest record in the log.
 
         Args:
             first_offset: Offset of that record.
@@ -202,19 +211,22 @@
             batch: The record.
 
         Returns:
-            What happened to claims, in order.
+            The events of the claims, in order.
 
         Raises:
             ValueError: If the record is not the next one.
         """
         if offset != self.next_offset:
-            raise ValueError(f"offset {offset} is not {self.next_offset}")
+            raise ValueError(
+                f"record offset {offset} is not {self.next_offset}, the next"
+                " offset to apply"
+            )
         self.next_offset = offset + 1
         if self.trimmed:
-            self._note_trimmed(offset, batch)
+            self._set_complete_from(offset, batch)
         self.stream_time_ms = max(self.stream_time_ms, batch.at_ms)
         self._evict_expired()
-        # One copy of the writer's name instead of one for each claim.
+        # Interned, so that the claims of a writer share one copy of its name.
         batch = attrs.evolve(batch, writer=sys.intern(batch.writer))
         events: list[ClaimEvent] = []
         for release in batch.releases:
@@ -225,23 +237,24 @@
             events.append(self._claim(batch, entry))
         return events
 
-    def _note_trimmed(self, offset: int, batch: ClaimBatch) -> None:
-        # The log may have kept its records for less than the window: a key
-        # claimed in what was trimmed would look new and run again. The first
-        # record kept tells how far the missing part reached, provided that
-        # its writer had read all of it; otherwise it may reach up to now.
-        # Until the window has passed since then no key can be called new.
+    def _set_complete_from(self, offset: int, batch: ClaimBatch) -> None:
+        # The log may retain records for less than the window. A key that was
+        # claimed in a trimmed record would look new, and its request would run
+        # again. The first retained record contains the time of the newest
+        # trimmed record, provided that its writer had read all records before
+        # it; otherwise trimmed claims may be as recent as the reader's start.
+        # No key counts as new until the window has passed since that time.
         self.trimmed = False
-        missing_until_ms = batch.previous_at_ms
+        trimmed_until_ms = batch.previous_at_ms
         if batch.seen_offset < offset:
-            missing_until_ms = self.restarted_ms
-        if missing_until_ms:
-            self.complete_from_ms = missing_until_ms + batch.window_ms
+            trimmed_until_ms = self.restarted_ms
+        if trimmed_until_ms:
+            self.complete_from_ms = trimmed_until_ms + batch.window_ms
 
     def _evict_expired(self) -> None:
-        # By the stream's time, never by the reader's own clock: two readers
-        # whose clocks differ would forget a key at different records, and
-        # each would see another claim win.
+        # Expiry uses the stream's time, never the reader's clock. Two readers
+        # whose clocks differ would evict a key at different records, and then
+        # disagree about which claim won the key.
         while self.claims:
             key = next(iter(self.claims))
             if self.claims[key].expires_ms > self.stream_time_ms:
@@ -250,8 +263,8 @@
 
     def _claim(self, batch: ClaimBatch, entry: ClaimEntry) -> ClaimSeen:
         claim_id = ClaimId(batch.writer, entry.number)
-        held = self.find(entry.key, self.stream_time_ms)
-        if held is None:
+        holder = self.find(entry.key, self.stream_time_ms)
+        if holder is None:
             self.claims.pop(entry.key, None)
             self.claims[entry.key] = Claim(
                 claim_id=claim_id,
@@ -260,13 +273,13 @@
                 expires_ms=self.stream_time_ms + batch.window_ms,
                 deadline_ms=self.stream_time_ms + entry.remaining_ms,
             )
-        won = held is None or held.claim_id == claim_id
+        won = holder is None or holder.claim_id == claim_id
         return ClaimSeen(claim_id, entry.key, won)
 
     def _release(self, writer: str, release: ClaimRelease) -> list[ClaimEvent]:
-        # Only the holder knows that it will not run the request. A release by
-        # anybody else, or of an earlier claim, would let the key be claimed
-        # and run while its holder is merely paused.
+        # Only the holder knows that it will not run the request. If a release
+        # by another writer, or of an earlier claim, freed the key, a second
+        # node could claim and run the request while the holder is paused.
         claim_id = ClaimId(writer, release.number)
         claim = self.claims.get(release.key)
         if claim is None or claim.claim_id != claim_id:
@@ -287,10 +300,10 @@
             ClaimStatus.UNKNOWN if completion.error else ClaimStatus.ANSWERED
         )
         self.claims[completion.key] = attrs.evolve(claim, status=status)
-        return [ClaimEnded(completion.key, _kept(completion))]
+        return [ClaimEnded(completion.key, _recorded_response(completion))]
 
     def find(self, key: bytes, now_ms: int) -> Claim | None:
-        """Returns the claim that holds a key, None where the key is free.
+        """Returns the claim that holds a key, or None if the key is free.
 
         Args:
             key: The claim key.
@@ -304,26 +317,26 @@
         return claim
 
     def window_wait_ms(self, now_ms: int) -> int:
-        """Returns how long new keys must wait, 0 where they need not."""
+        """Returns how long new keys must wait until none is missing, else 0."""
         return max(0, self.complete_from_ms - now_ms)
 
     def capacity_wait_ms(self, now_ms: int, limit: int) -> int:
-        """Returns how long a new key must wait for room, 0 where there is some.
+        """Returns how long a new key must wait for capacity, 0 if not at all.
 
         Args:
             now_ms: Current time, since the epoch.
-            limit: Most keys that are remembered.
+            limit: Maximum number of keys in the table.
         """
-        # Made for a flood of new keys: memory must stay bounded, and dropping
-        # a key inside its window would let its request run again. So the new
-        # key is refused as not run until the oldest one leaves the window.
+        # The limit bounds the memory under a flood of new keys. Evicting a key
+        # inside its window would let its request run again, so a new key is
+        # rejected as not run until the oldest key leaves the window.
         if len(self.claims) < limit:
             return 0
         oldest = next(iter(self.claims.values()))
         return max(0, oldest.expires_ms - now_ms)
 
 
-def _kept(completion: ClaimCompletion) -> StoredResponse | None:
+def _recorded_response(completion: ClaimCompletion) -> StoredResponse | None:
     if completion.error or not completion.kept:
         return None
     headers = tuple((item.name, item.value) for item in completion.headers)
@@ -337,14 +350,14 @@
     response: StoredResponse | None,
     max_bytes: int,
 ) -> ClaimCompletion:
-    """Returns the record of how a claim's request ended.
+    """Returns the record of the outcome of a claim's request.
 
     Args:
         key: The claim key.
         number: The claim's number.
-        error: Error kind; empty where the target answered.
-        response: The answer, None where there was none.
-        max_bytes: Largest answer that goes into the log.
+        error: Error kind; empty if the target responded.
+        response: The response, or None if there was none.
+        max_bytes: Maximum size of a response that the record includes.
     """
     if response is None or response.size_bytes > max_bytes:
         status = 0 if response is None else response.status
