--- a/packages/pomelobank-core/src/pomelobank_core/_departures.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_departures.py
@@ -1,4 +1,4 @@
-"""Remembers which targets have said that they leave."""
+"""Records the targets that have announced their departure."""
 
 from collections import OrderedDict
 
@@ -9,40 +9,42 @@
     TargetAnnouncement,
 )
 
-# A node has one target at a time, and a record of the log may name any of the
-# mesh; those of the last minutes are as many as the mesh replaces.
-_REMEMBERED = 4096
+# Maximum number of departures in memory. A departure in the log may name any
+# target of the mesh; the limit covers the targets that the mesh replaces within
+# minutes.
+_MAX_DEPARTURES = 4096
 
 
 @attrs.define(eq=False)
 class Departures:
-    """Tells whether a target that announces itself has said that it leaves.
+    """Departures of targets, to detect announcements of departing targets.
 
-    A target says so once and may go on announcing itself as ready until it
-    ends. Believed, it would get requests that are cut off with it.
+    A target announces its departure once and may continue to announce itself
+    as ready until its process ends. A node that relied on those announcements
+    would route requests to the target that fail when the target ends.
 
     Attributes:
-        latest: The newest departure by the target's name, or by its address
-            where it has none.
+        latest: The newest departure by instance, or by address if the target
+            has no instance name.
     """
 
     latest: OrderedDict[str, DepartureRecord] = attrs.field(factory=OrderedDict)
 
     def add(self, departure: DepartureRecord) -> None:
-        """Takes the word of a target that it leaves, or has returned."""
+        """Records that a target departs, or that a departed target returned."""
         key = departure.instance or departure.address
-        known = self.latest.get(key)
-        if known is not None and _is_earlier(departure, known):
+        previous = self.latest.get(key)
+        if previous is not None and _is_earlier(departure, previous):
             return
         if departure.returned:
             self.latest.pop(key, None)
             return
         self.latest[key] = departure
-        while len(self.latest) > _REMEMBERED:
+        while len(self.latest) > _MAX_DEPARTURES:
             self.latest.popitem(last=False)
 
     def has_departed(self, target: TargetAnnouncement) -> bool:
-        """Returns whether a target has left, or a later start of it."""
+        """Returns whether a target, or a later start of it, has departed."""
         departure = self.latest.get(target.instance or target.address)
         return departure is not None and is_departure_of(departure, target)
 
@@ -50,10 +52,11 @@
 def is_departure_of(
     departure: DepartureRecord, target: TargetAnnouncement
 ) -> bool:
-    """Returns whether a departure is that of a target.
+    """Returns whether a departure applies to a target.
 
-    A target may start again under its id. The word of an earlier start that
-    was held up must not take the later one out, which would never come back.
+    A target may restart under the same id. A delayed departure of an earlier
+    start must not remove the later start, because no record would ever return
+    the later start to service.
     """
     if departure.instance != target.instance:
         return False
@@ -64,5 +67,5 @@
     return target.started_at_ms <= departure.started_at_ms
 
 
-def _is_earlier(one: DepartureRecord, other: DepartureRecord) -> bool:
-    return 0 < one.started_at_ms < other.started_at_ms
+def _is_earlier(first: DepartureRecord, second: DepartureRecord) -> bool:
+    return 0 < first.started_at_ms < second.started_at_ms
--- a/packages/pomelobank-core/src/pomelobank_core/_target_lease.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_target_lease.py
@@ -1,4 +1,4 @@
-"""Decides what the announcements of a target mean."""
+"""Tracks a target's state by its announcements."""
 
 import enum
 
@@ -8,14 +8,15 @@
 
 
 class TargetChange(enum.Enum):
-    """What an announcement, or the lack of one, changed.
+    """Change of a target's state after an announcement or an expired lease.
 
     Attributes:
-        NONE: Nothing; at most the lease was renewed.
-        ACTIVATED: The target is new, back, or another than before.
-        RESTARTED: A target that was leaving has started again.
-        DRAINING: The target is leaving.
-        LAPSED: The target fell silent.
+        NONE: No change; at most the lease was renewed.
+        ACTIVATED: The target is new, or announces itself again after its lease
+            expired, or its announcement differs from the previous one.
+        RESTARTED: A draining target has started again.
+        DRAINING: The target is draining.
+        LAPSED: The target's lease expired.
     """
 
     NONE = "none"
@@ -27,20 +28,21 @@
 
 @attrs.define(eq=False)
 class TargetLease:
-    """Follows the target beside a node by what it announces.
+    """Lease of the target beside a node, renewed by the target's announcements.
 
-    Health pages lag or mislead; a target renews its lease by announcing itself
-    and gets work for as long as it does. A few announcements that are missing
-    in a row are no slow answer any more: the target is down, frozen or cut off.
+    Health pages lag or report a wrong state. A target therefore renews its
+    lease with each announcement and receives requests until the lease expires.
+    Several missing announcements in a row cannot be explained by one slow
+    response: the target is down, frozen or partitioned from the node.
 
     Attributes:
-        lease_ms: Longest time between two announcements.
+        lease_ms: Maximum time between two announcements.
         announcement: The latest announcement, None before the first.
-        renewed_ms: When it came.
-        draining: Whether the target is leaving.
-        lapsed: Whether the target is silent.
-        closed: Whether the node stops, so that no target is taken any more.
-        lapses: How often the target fell silent, for the metrics.
+        renewed_ms: When the latest announcement arrived.
+        draining: Whether the target is draining.
+        lapsed: Whether the lease has expired.
+        closed: Whether the node is stopping and accepts no target any more.
+        lapses: How often the lease expired, for the metrics.
     """
 
     lease_ms: int
@@ -54,43 +56,46 @@
     def on_announcement(
         self, new: TargetAnnouncement, now_ms: int
     ) -> TargetChange:
-        """Takes an announcement."""
-        old, self.announcement = self.announcement, new
-        returned, self.lapsed = self.lapsed, False
+        """Handles an announcement of the target and renews the lease."""
+        previous, self.announcement = self.announcement, new
+        was_lapsed, self.lapsed = self.lapsed, False
         self.renewed_ms = now_ms
         if self.closed:
             return TargetChange.NONE
         if new.draining:
             return self.drain()
         if self.draining:
-            return self._restart(old, new, returned)
-        if returned or old != new:
+            return self._restart(previous, new, was_lapsed)
+        if was_lapsed or previous != new:
             return TargetChange.ACTIVATED
         return TargetChange.NONE
 
     def _restart(
         self,
-        old: TargetAnnouncement | None,
+        previous: TargetAnnouncement | None,
         new: TargetAnnouncement,
-        returned: bool,
+        was_lapsed: bool,
     ) -> TargetChange:
-        # A target that leaves may well go on announcing itself until it ends.
-        # Only another instance, or one that was silent in between, is a start.
-        same = old is not None and _start_of(old) == _start_of(new)
-        if same and not returned:
+        # A draining target may continue to announce itself until its process
+        # ends. Only another start, or an announcement after the lease expired,
+        # counts as a restart.
+        same_start = previous is not None and _start_identity(
+            previous
+        ) == _start_identity(new)
+        if same_start and not was_lapsed:
             return TargetChange.NONE
         self.draining = False
         return TargetChange.RESTARTED
 
     def drain(self) -> TargetChange:
-        """Takes the target out until it starts again."""
+        """Marks the target as draining until it starts again."""
         if self.draining:
             return TargetChange.NONE
         self.draining = True
         return TargetChange.DRAINING
 
     def check(self, now_ms: int) -> TargetChange:
-        """Notices that the lease has run out."""
+        """Detects that the lease has expired."""
         if self.announcement is None or self.lapsed:
             return TargetChange.NONE
         if now_ms - self.renewed_ms <= self.lease_ms:
@@ -100,12 +105,12 @@
         return TargetChange.NONE if self.draining else TargetChange.LAPSED
 
     def close(self) -> None:
-        """Takes no target any more."""
+        """Rejects all targets from now on, because the node is stopping."""
         self.closed = True
         self.draining = True
 
 
-def _start_of(announcement: TargetAnnouncement) -> tuple[str, int, str]:
+def _start_identity(announcement: TargetAnnouncement) -> tuple[str, int, str]:
     return (
         announcement.instance,
         announcement.started_at_ms,
