--- a/packages/pomelobank-core/src/pomelobank_core/_gossip_queue.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_gossip_queue.py
@@ -1,4 +1,4 @@
-"""Chooses what to tell next, so that news reach every member."""
+"""Queues updates about members so that gossip reaches every member."""
 
 from collections.abc import Iterable
 
@@ -7,50 +7,55 @@
 from pomelobank_core._members import MemberTable
 from pomelobank_schema.generated.peer import Gossip, MemberEntry, MemberVersion
 
-# Each member passes an entry on about twice the logarithm of the fleet's size;
-# epidemic spread then misses a member with a chance below 1 in 10,000, and the
-# comparison of tables mends the rest. With three times, gossip of 63 members in
-# five data centres took as many bytes between these as all requests.
+# Each member sends an entry this many times the logarithm of the fleet's size.
+# With a factor of 2, the epidemic misses a member with a probability below 1 in
+# 10,000, and the comparison of tables corrects the remaining differences. With
+# a factor of 3, gossip of 63 members in five data centres sent as many bytes
+# between the data centres as all requests.
 _ENTRY_FACTOR = 2
-# A version concerns people who watch a roll-out, not the placing of requests,
-# and comes in bursts of one per member; it is passed on less often.
+# A version is sent less often than an entry. Operators who watch a roll-out
+# read the version, but load balancing does not depend on it, and each change
+# causes a burst of one version per member.
 _VERSION_FACTOR = 1
-# Largest size in msgpack of an entry's or version's numbers and headers.
+# Upper bounds in bytes of the msgpack size of the numbers and headers of an
+# entry and of a version.
 _ENTRY_OVERHEAD = 64
 _VERSION_OVERHEAD = 24
 
 
 @attrs.define
 class GossipQueue:
-    """News with the number of times that each was passed on.
+    """Queued updates about members, with the number of sends of each update.
 
     Attributes:
-        entries: Times that each changed entry was sent, by node.
-        versions: Times that each moved version was sent, by node.
+        entries: Number of sends of each changed entry, by node.
+        versions: Number of sends of each changed version, by node.
     """
 
     entries: dict[str, int] = attrs.field(factory=dict)
     versions: dict[str, int] = attrs.field(factory=dict)
 
     def add(self, node: str) -> None:
-        """Queues a member's entry, from the start where it is queued."""
+        """Queues a member's entry; resets the count of a queued entry."""
         self.entries[node] = 0
         self.versions.pop(node, None)
 
     def add_version(self, node: str) -> None:
-        """Queues a member's version, unless its entry carries it."""
+        """Queues a member's version unless its entry is queued."""
         if node not in self.entries:
             self.versions[node] = 0
 
     def on_received(self, node: str, members: int) -> None:
-        """Counts an entry that a peer told as passed on.
+        """Counts a known entry from a peer as a send of the queued entry.
 
         Args:
-            node: The member told of.
-            members: Size of the mesh.
+            node: The entry's member.
+            members: Number of members of the mesh.
         """
         if node in self.entries:
-            _count(self.entries, node, _ENTRY_FACTOR * spread_rounds(members))
+            _count_send(
+                self.entries, node, _ENTRY_FACTOR * spread_rounds(members)
+            )
 
     def next_gossip(
         self,
@@ -58,46 +63,48 @@
         limit_bytes: int,
         first: Iterable[MemberEntry] = (),
     ) -> Gossip:
-        """Returns the next news that fit, those sent least often first.
+        """Returns the next updates that fit, least often sent first.
 
         Args:
-            table: Where the entries are.
-            limit_bytes: Largest size of the result; the own entry and `first`
-                are sent in any case.
-            first: Entries that the receiver has to know of.
+            table: The table of members that contains the entries.
+            limit_bytes: Maximum size of the gossip; the node's own entry and
+                `first` are included even if they exceed the limit.
+            first: Entries that the receiver must learn.
 
         Returns:
-            The own entry, `first` and news.
+            The node's own entry, `first` and queued updates.
         """
         members = [table.own, *first]
-        room = limit_bytes - sum(entry_size_bytes(entry) for entry in members)
+        left_bytes = limit_bytes - sum(
+            entry_size_bytes(entry) for entry in members
+        )
         rounds = spread_rounds(len(table.others) + 1)
         skip = {entry.node for entry in members}
         for node in self._ordered(self.entries, skip):
             entry = table.others.get(node)
             size = 0 if entry is None else entry_size_bytes(entry)
-            if size > room:
+            if size > left_bytes:
                 break
-            _count(self.entries, node, _ENTRY_FACTOR * rounds)
+            _count_send(self.entries, node, _ENTRY_FACTOR * rounds)
             if entry is not None:
                 members.append(entry)
-                room -= size
-        versions = self._take_versions(table, room, rounds)
+                left_bytes -= size
+        versions = self._next_versions(table, left_bytes, rounds)
         return Gossip(members=tuple(members), versions=tuple(versions))
 
-    def _take_versions(
-        self, table: MemberTable, room: int, rounds: int
+    def _next_versions(
+        self, table: MemberTable, left_bytes: int, rounds: int
     ) -> list[MemberVersion]:
-        taken = []
+        chosen = []
         for node in self._ordered(self.versions, {table.own.node}):
-            room -= len(node) + _VERSION_OVERHEAD
-            if room < 0:
+            left_bytes -= len(node) + _VERSION_OVERHEAD
+            if left_bytes < 0:
                 break
-            _count(self.versions, node, _VERSION_FACTOR * rounds)
+            _count_send(self.versions, node, _VERSION_FACTOR * rounds)
             entry = table.others.get(node)
             if entry is not None:
-                taken.append(version_of(entry))
-        return taken
+                chosen.append(version_of(entry))
+        return chosen
 
     @staticmethod
     def _ordered(queue: dict[str, int], skip: set[str]) -> list[str]:
@@ -105,19 +112,21 @@
 
 
 def version_of(entry: MemberEntry) -> MemberVersion:
-    """Returns the version that an entry tells."""
+    """Returns the version of an entry as a message of its own."""
     return MemberVersion(
         node=entry.node, incarnation=entry.incarnation, version=entry.version
     )
 
 
 def version_size_bytes(item: MemberVersion) -> int:
-    """Returns an upper bound of a version's size in bytes."""
+    """Returns an upper bound in bytes of a version's encoded size."""
     return len(item.node) + _VERSION_OVERHEAD
 
 
 def spread_rounds(members: int) -> int:
-    """Returns the rounds in which a doubling rumour reaches every member.
+    """Returns the rounds in which an update reaches every member.
+
+    The number of members that know the update doubles with each round.
 
     >>> spread_rounds(3), spread_rounds(1000)
     (2, 10)
@@ -126,18 +135,18 @@
 
 
 def entry_size_bytes(entry: MemberEntry) -> int:
-    """Returns an upper bound of an entry's size in bytes."""
-    texts = (
+    """Returns an upper bound in bytes of an entry's encoded size."""
+    strings = (
         entry.node,
         entry.data_centre,
         entry.peer_address,
         entry.http_address,
         entry.upstream,
     )
-    return _ENTRY_OVERHEAD + sum(len(text) for text in texts)
+    return _ENTRY_OVERHEAD + sum(len(text) for text in strings)
 
 
-def _count(queue: dict[str, int], node: str, limit: int) -> None:
+def _count_send(queue: dict[str, int], node: str, limit: int) -> None:
     queue[node] += 1
     if queue[node] >= limit:
         del queue[node]
--- a/packages/pomelobank-core/src/pomelobank_core/_member_digest.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_member_digest.py
@@ -1,4 +1,4 @@
-"""Hashes of a member table, so that equal tables are compared cheaply."""
+"""Hashes of a member table, to compare two tables without their entries."""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,15 +8,15 @@
 from pomelobank_core._members import MemberState
 from pomelobank_schema.generated.peer import MemberEntry
 
-# 64 buckets make a request of about 1 KB, and one member that differs costs
-# the entries of a 64th of the table.
+# Number of buckets of a table. The hashes of 64 buckets make a request of about
+# 1 KB, and one differing member costs the transfer of a 64th of the table.
 BUCKET_COUNT = 64
-# Hashes stay within a signed 64-bit number.
+# Limits hashes to the positive range of a signed 64-bit integer.
 _MASK = (1 << 63) - 1
 
 
 def bucket_of(node: str) -> int:
-    """Returns the bucket of a node's id; the same in every process."""
+    """Returns the bucket of a node's id, which is equal in all processes."""
     return xxhash.xxh3_64_intdigest(node.encode()) % BUCKET_COUNT
 
 
@@ -24,8 +24,8 @@
 class TableDigest:
     """Hashes of a table by bucket of node ids.
 
-    Gone members are left out: one that was forgotten here and not yet there
-    makes no difference worth an exchange.
+    The digest omits gone members. A gone member that one node has removed and
+    another node still keeps is a difference that needs no exchange.
 
     Attributes:
         entries: Hash of the entries without their versions, per bucket.
@@ -44,16 +44,19 @@
             if member.state == MemberState.GONE.value:
                 continue
             bucket = bucket_of(member.node)
-            number = f"{member.node}|{member.incarnation}"
+            identity = f"{member.node}|{member.incarnation}"
             entries[bucket] ^= _hash(
-                f"{number}|{member.sequence}|{member.state}"
+                f"{identity}|{member.sequence}|{member.state}"
             )
-            versions[bucket] ^= _hash(f"{number}|{member.version}")
+            versions[bucket] ^= _hash(f"{identity}|{member.version}")
         return cls(tuple(entries), tuple(versions))
 
 
 def differing_buckets(first: Sequence[int], second: Sequence[int]) -> list[int]:
-    """Returns the buckets whose hashes differ; all where they are malformed."""
+    """Returns the buckets whose hashes differ.
+
+    If a digest has the wrong number of buckets, all buckets count as differing.
+    """
     if len(first) != BUCKET_COUNT or len(second) != BUCKET_COUNT:
         return list(range(BUCKET_COUNT))
     return [
--- a/packages/pomelobank-core/src/pomelobank_core/_members.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_members.py
@@ -1,4 +1,4 @@
-"""What a node knows about the members of the mesh."""
+"""A node's table of the members of the mesh."""
 
 import enum
 from collections.abc import Iterable
@@ -8,13 +8,14 @@
 
 from pomelobank_schema.generated.peer import MemberEntry, MemberVersion
 
-# At most 350 members are replaced on an ordinary day; this covers a week of
-# them at about 100 bytes each, while a broken peer cannot fill our memory.
+# Maximum number of tombstones. On an ordinary day at most 350 members are
+# replaced, so the limit covers a week at about 100 bytes per member and keeps a
+# faulty peer from filling the node's memory.
 FORGOTTEN_LIMIT = 4096
 
 
 class MemberState(enum.Enum):
-    """Life cycle of a member as others see it."""
+    """State of a member in its life cycle as other members see it."""
 
     STARTING = "starting"
     READY = "ready"
@@ -23,8 +24,10 @@
     GONE = "gone"
 
 
-# Only the member itself raises its numbers, and others only claim worse of it;
-# so of two entries with equal numbers the one further on is the newer.
+# Position of each state in the life cycle. Only a member itself raises its
+# incarnation and sequence, and other members only move its state towards its
+# end. Of two entries with equal numbers, the entry with the later state is
+# therefore the newer one.
 _ORDER = {
     MemberState.STARTING.value: 0,
     MemberState.READY.value: 1,
@@ -32,17 +35,17 @@
     MemberState.DRAINING.value: 3,
     MemberState.GONE.value: 4,
 }
-_ENDING = (MemberState.DRAINING.value, MemberState.GONE.value)
+_FINAL_STATES = (MemberState.DRAINING.value, MemberState.GONE.value)
 
 
 @attrs.frozen(order=True)
 class EntryRank:
-    """Age of an entry; of two entries of a node the higher one is newer.
+    """Rank of an entry; of two entries of a node, the higher rank is newer.
 
     Attributes:
         incarnation: The entry's incarnation.
         sequence: The entry's sequence.
-        order: How far the entry's state is towards the member's end.
+        order: Position of the entry's state in the life cycle.
     """
 
     incarnation: int
@@ -56,16 +59,17 @@
 
 
 def is_newer(entry: MemberEntry, known: MemberEntry) -> bool:
-    """Tells whether an entry replaces the known one of the same node."""
+    """Returns whether an entry replaces the known entry of its node."""
     return EntryRank.of(entry) > EntryRank.of(known)
 
 
 def join_entries(first: MemberEntry, second: MemberEntry) -> MemberEntry:
-    """Returns what two entries of one node say together.
+    """Returns the union of the information in two entries of one node.
 
-    The newer entry is taken. Within an incarnation a version only grows, so
-    it is taken from either; this is why a version need not raise the sequence
-    and travels in a few bytes.
+    The result is the newer entry, with the higher version of the two entries
+    if both have the same incarnation. A version only grows within an
+    incarnation, so a new version need not raise the sequence, and gossip can
+    send the version alone in a few bytes.
     """
     newer, older = first, second
     if is_newer(second, first):
@@ -75,7 +79,7 @@
     return newer
 
 
-def _serving(entry: MemberEntry) -> tuple[object, ...]:
+def _serving_fields(entry: MemberEntry) -> tuple[object, ...]:
     return (
         entry.incarnation,
         entry.state,
@@ -88,16 +92,20 @@
 
 @attrs.define
 class MemberTable:
-    """Members by node id; the own entry is never taken from others.
+    """Members by node id; a peer's gossip never replaces the own entry.
 
     Attributes:
         own: The node's own entry.
-        others: Every other member that was heard of.
-        tombstones: Ranks of gone members whose entries were dropped.
-        refutations: How often others held this node to be suspect or gone.
-        stale_entries: Entries of forgotten members that were passed over.
-        serving_changes: Grows whenever it changes who serves what, and where.
-        revision: Grows with every change.
+        others: Entries of all other known members.
+        tombstones: Ranks of gone members whose entries were removed.
+        refutations: How often this node refuted an entry of a peer about
+            itself, such as a suspicion.
+        stale_entries: Ignored entries of removed members.
+        serving_changes: Counter of the changes of the members that serve, their
+            upstreams, slots and addresses.
+        revision: Counter of all changes of the table.
+        candidates: Cache of `ready_for` by upstream.
+        known_present: Cache of `present`.
     """
 
     own: MemberEntry
@@ -115,28 +123,39 @@
     )
 
     def update_own(self, **changes: Any) -> None:
-        """Changes the own entry so that others take the change.
+        """Changes the own entry and raises its sequence.
+
+        Peers accept the change because of the higher sequence.
 
         Raises:
-            ValueError: If a draining member would become ready again; it has
-                to start a new incarnation, else peers that learn of the two
-                states in another order would send it work or keep it out.
+            ValueError: If the change would move a draining or gone member to an
+                earlier state, such as ready. The member has to start a new
+                incarnation instead: peers that received the two states in
+                different orders would otherwise route requests to a draining
+                target or exclude a ready one.
         """
         state = changes.get("state", self.own.state)
-        if self.own.state in _ENDING and _ORDER[state] < _ORDER[self.own.state]:
-            raise ValueError(f"{self.own.state} cannot become {state}")
+        if (
+            self.own.state in _FINAL_STATES
+            and _ORDER[state] < _ORDER[self.own.state]
+        ):
+            raise ValueError(
+                f"member in state {self.own.state} cannot become {state} within"
+                " one incarnation"
+            )
         sequence = self.own.sequence + 1
         self._set_own(attrs.evolve(self.own, sequence=sequence, **changes))
 
     def update_version(self, version: int) -> None:
-        """Sets the own version; it travels without a new sequence."""
+        """Sets the version of the own entry without raising the sequence."""
         self._set_own(attrs.evolve(self.own, version=version))
 
     def restart_own(self, incarnation: int, **changes: Any) -> None:
-        """Starts a new incarnation, as after a restart of the target.
+        """Starts a new incarnation, for example after a restart of the target.
 
         Args:
-            incarnation: The incarnation wanted; at least the next one is taken.
+            incarnation: Requested incarnation; the method raises the value to
+                the next incarnation if it is lower.
             changes: Fields of the entry to change.
         """
         incarnation = max(incarnation, self.own.incarnation + 1)
@@ -147,26 +166,28 @@
         )
 
     def _set_own(self, entry: MemberEntry) -> None:
-        self._note(self.own, entry)
+        self._count_serving_change(self.own, entry)
         self.own = entry
-        self._changed()
+        self._on_changed()
 
-    def _note(self, before: MemberEntry | None, after: MemberEntry) -> None:
-        if before is None or _serving(before) != _serving(after):
+    def _count_serving_change(
+        self, before: MemberEntry | None, after: MemberEntry
+    ) -> None:
+        if before is None or _serving_fields(before) != _serving_fields(after):
             self.serving_changes += 1
 
     def merge(self, entries: Iterable[MemberEntry]) -> list[MemberEntry]:
-        """Takes what a peer knows.
+        """Merges the entries of a peer into the table.
 
         Args:
             entries: The peer's entries.
 
         Returns:
-            Those that were news.
+            The entries that added a member or are newer than the known entry.
         """
-        return [entry for entry in entries if self._take(entry)]
+        return [entry for entry in entries if self._merge_entry(entry)]
 
-    def _take(self, entry: MemberEntry) -> bool:
+    def _merge_entry(self, entry: MemberEntry) -> bool:
         if entry.node == self.own.node:
             self._refute(entry)
             return False
@@ -176,17 +197,18 @@
         joined = entry if known is None else join_entries(entry, known)
         if joined == known:
             return False
-        self._note(known, joined)
+        self._count_serving_change(known, joined)
         self.others[entry.node] = joined
         self.tombstones.pop(entry.node, None)
-        self._changed()
+        self._on_changed()
         return known is None or is_newer(joined, known)
 
     def _is_stale(self, entry: MemberEntry) -> bool:
-        # A node that was paused or cut off for hours still gossips members
-        # that everybody else has forgotten. Without the remembered rank they
-        # would come back as ready and be sent work; a member that really
-        # lives learns of it by the answer to its probe and raises its rank.
+        # A node that was paused or partitioned for hours still gossips members
+        # that all other nodes have removed. Without the tombstone, the removed
+        # members would become ready again and receive requests. A member that
+        # is alive receives the tombstone with the reply to its probe and raises
+        # its rank.
         rank = self.tombstones.get(entry.node)
         if rank is None or EntryRank.of(entry) > rank:
             return False
@@ -196,42 +218,44 @@
     def merge_versions(
         self, versions: Iterable[MemberVersion]
     ) -> list[MemberVersion]:
-        """Takes versions that moved; returns those that were news."""
-        return [item for item in versions if self._take_version(item)]
+        """Merges changed versions; returns those newer than the known ones."""
+        return [item for item in versions if self._merge_version(item)]
 
-    def _take_version(self, item: MemberVersion) -> bool:
+    def _merge_version(self, item: MemberVersion) -> bool:
         known = self.others.get(item.node)
         if known is None or known.incarnation != item.incarnation:
             return False
         if item.version <= known.version:
             return False
         self.others[item.node] = attrs.evolve(known, version=item.version)
-        self._changed()
+        self._on_changed()
         return True
 
     def _refute(self, entry: MemberEntry) -> None:
-        # A node that was paused may be held to be gone by its peers; unless it
-        # says otherwise with a higher rank it would get no work for good.
+        # After a pause of this node, its peers may have marked the node as
+        # gone. Unless the node refutes that entry with a higher rank, its
+        # target never receives requests again.
         if not is_newer(entry, self.own):
             return
         self.refutations += 1
         if entry.incarnation > self.own.incarnation:
-            # The clock went back between two starts.
+            # The clock was set back between two starts, so the peer's entry of
+            # an earlier start has a higher incarnation.
             self.restart_own(entry.incarnation + 1)
             return
         self._set_own(attrs.evolve(self.own, sequence=entry.sequence + 1))
 
     def remove(self, node: str) -> None:
-        """Drops the entry of a gone member and remembers its rank."""
+        """Removes the entry of a gone member and keeps its rank."""
         entry = self.others.pop(node)
         self.serving_changes += 1
-        self._changed()
+        self._on_changed()
         self.tombstones[node] = EntryRank.of(entry)
         while len(self.tombstones) > FORGOTTEN_LIMIT:
             self.tombstones.pop(next(iter(self.tombstones)))
 
     def known_entry(self, node: str) -> MemberEntry | None:
-        """Returns what is held of a node, also where it was forgotten."""
+        """Returns the entry of a node, or a gone entry from its tombstone."""
         entry = self.others.get(node)
         rank = self.tombstones.get(node)
         if entry is not None or rank is None:
@@ -244,12 +268,13 @@
         )
 
     def all(self) -> list[MemberEntry]:
-        """Returns every entry, the own one first."""
+        """Returns all entries, the own entry first."""
         return [self.own, *self.others.values()]
 
     def present(self) -> list[MemberEntry]:
         """Returns the other members that are not gone."""
-        # Asked with each frame and each tick, changed now and then.
+        # Cached, because each frame and each tick reads the list, while the
+        # table changes rarely.
         if self.known_present is None:
             gone = MemberState.GONE.value
             self.known_present = [
@@ -257,7 +282,7 @@
             ]
         return list(self.known_present)
 
-    def _changed(self) -> None:
+    def _on_changed(self) -> None:
         self.revision += 1
         self.candidates.clear()
         self.known_present = None
@@ -265,17 +290,19 @@
     def ready_for(self, upstream: str) -> list[MemberEntry]:
         """Returns the members whose target serves an upstream.
 
-        Suspects are left out while most members are ready. Where most are
-        suspect, the likely cause is this node's own view, such as a cut or the
-        rumours after its end, and leaving them out would put the whole load on
-        the few others or stop the service. A suspect that is really down costs
-        one refused stream, and the request goes elsewhere as not run.
+        The result excludes suspect members unless they outnumber the ready
+        ones. If most members are suspect, the likely cause is this node's
+        own view, for example during a network partition or because of the
+        outdated gossip after its end. Excluding the suspects would then put
+        the whole load on the few ready members or stop the service. A request
+        to a suspect that is down costs one refused stream; the request was not
+        run, so the node sends it to another target.
         """
         if upstream not in self.candidates:
-            self.candidates[upstream] = self._select(upstream)
+            self.candidates[upstream] = self._find_candidates(upstream)
         return list(self.candidates[upstream])
 
-    def _select(self, upstream: str) -> list[MemberEntry]:
+    def _find_candidates(self, upstream: str) -> list[MemberEntry]:
         serving = [entry for entry in self.all() if entry.upstream == upstream]
         ready = [
             entry for entry in serving if entry.state == MemberState.READY.value
@@ -288,10 +315,10 @@
         return ready if len(ready) >= len(suspect) else ready + suspect
 
     def available_upstreams(self) -> frozenset[str]:
-        """Returns the upstreams with at least one member to send work to."""
-        usable = (MemberState.READY.value, MemberState.SUSPECT.value)
+        """Returns the upstreams of the ready and the suspect members."""
+        available_states = (MemberState.READY.value, MemberState.SUSPECT.value)
         return frozenset(
             entry.upstream
             for entry in self.all()
-            if entry.upstream and entry.state in usable
+            if entry.upstream and entry.state in available_states
         )
--- a/packages/pomelobank-core/src/pomelobank_core/_probing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_probing.py
@@ -1,4 +1,4 @@
-"""Keeps track of the probes that a node has under way."""
+"""Selects the members to probe and tracks the pending probes of a node."""
 
 import random
 from collections.abc import Iterable, Mapping
@@ -7,17 +7,22 @@
 
 from pomelobank_schema.generated.peer import MemberEntry
 
-# Part of the exchanges that goes to other data centres where there are many
-# neighbours. A data centre of 30 nodes then makes seven of them a second, in
-# which news leave it and the loss of another one shows.
+# Minimum fraction of the exchanges that go to other data centres, for a data
+# centre with many members. A data centre of 30 nodes then makes seven such
+# exchanges a second, which are enough to pass on its gossip and to detect the
+# loss of another data centre.
 FAR_SHARE = 1 / 8
-# The same while a member of another data centre is suspected: that whole data
-# centre may be lost, with every neighbour who would notice.
+# The same fraction while a member of another data centre is suspect. That whole
+# data centre may be lost, and with it all members that would probe the suspect
+# more often.
 DOUBTED_FAR_SHARE = 1 / 2
 
 
 def far_share(neighbours: int) -> float:
-    """Returns the part of the exchanges that goes to other data centres.
+    """Returns the fraction of the exchanges that go to other data centres.
+
+    Args:
+        neighbours: Number of other members in the node's data centre.
 
     >>> far_share(0), far_share(1), far_share(100)
     (1.0, 0.5, 0.125)
@@ -27,12 +32,12 @@
 
 @attrs.define
 class Probe:
-    """One probe that waits for its answer.
+    """A probe that waits for its reply.
 
     Attributes:
         node: Member that is probed.
-        sent_ms: When it was sent.
-        indirect: Whether others were already asked to try.
+        sent_ms: When the probe was sent.
+        indirect: Whether other members were already asked for indirect probes.
     """
 
     node: str
@@ -42,12 +47,12 @@
 
 @attrs.frozen
 class RelayedProbe:
-    """A probe made for another member.
+    """An indirect probe on behalf of another member.
 
     Attributes:
-        requester: Where the other member is reached.
-        sequence: The other member's number of the probe.
-        sent_ms: When it was sent.
+        requester: Address of the member that requested the probe.
+        sequence: Sequence number of the probe at the requester.
+        sent_ms: When the probe was sent.
     """
 
     requester: str
@@ -57,21 +62,22 @@
 
 @attrs.define
 class Pass:
-    """Chooses every member once in a random order, then again in another.
+    """Chooses every member once per pass, each pass in a new random order.
 
-    Purely random choice would leave a member out for long stretches; this
-    bounds the time to the first probe of a dead member by one pass.
+    With an independent random choice for each probe, a member could remain
+    without a probe for a long time. A pass bounds the time until the first
+    probe of a dead member.
 
     Attributes:
         random: Source of randomness.
-        order: Members that are still to come in this pass.
+        order: Members that this pass has not chosen yet, the next one last.
     """
 
     random: random.Random
     order: list[str] = attrs.field(factory=list)
 
     def choose(self, members: Mapping[str, MemberEntry]) -> MemberEntry | None:
-        """Returns the next member, None where there is none."""
+        """Returns the next member, or None if there is no member."""
         while self.order:
             entry = members.get(self.order.pop())
             if entry is not None:
@@ -81,9 +87,9 @@
         return members[self.order.pop()] if self.order else None
 
     def insert(self, node: str) -> None:
-        """Puts a new member somewhere into the current pass."""
-        place = self.random.randrange(len(self.order) + 1)
-        self.order.insert(place, node)
+        """Inserts a new member at a random position of the current pass."""
+        position = self.random.randrange(len(self.order) + 1)
+        self.order.insert(position, node)
 
 
 @attrs.define
@@ -93,11 +99,11 @@
     Attributes:
         random: Source of randomness.
         data_centre: The own data centre.
-        near: Members of the own data centre that are still to come.
-        far: Those of the others.
-        pending: Own probes by number.
-        relayed: Probes made for others by number.
-        next_sequence: Next number; never used again.
+        near: Pass over the members of the own data centre.
+        far: Pass over the members of all other data centres.
+        pending: Own probes by sequence number.
+        relayed: Probes on behalf of other members by sequence number.
+        next_sequence: Next sequence number; a number is never reused.
     """
 
     random: random.Random
@@ -117,61 +123,61 @@
         present: Iterable[MemberEntry],
         doubted: Iterable[MemberEntry] = (),
     ) -> MemberEntry | None:
-        """Returns the member to exchange with next, None where there is none.
+        """Returns the next member to exchange with, or None if there is none.
 
-        Five members in six are far in a mesh of six data centres. Chosen
-        evenly, nearly all of what membership sends crosses between them, and
-        each node has a stream to everybody.
+        In a mesh of six data centres, five members in six are remote. With a
+        uniform choice, nearly all membership traffic would cross between the
+        data centres, and each node would keep a stream to every member.
 
         Args:
             present: The members that are not gone.
-            doubted: Those of them that are suspected.
+            doubted: The present members that are suspect.
         """
-        near: dict[str, MemberEntry] = {}
-        far: dict[str, MemberEntry] = {}
+        local: dict[str, MemberEntry] = {}
+        remote: dict[str, MemberEntry] = {}
         for entry in present:
-            (near if self._is_near(entry) else far)[entry.node] = entry
-        share = far_share(len(near))
-        if not all(map(self._is_near, doubted)):
-            share = max(share, DOUBTED_FAR_SHARE)
-        if far and self.random.random() < share:
-            return self.far.choose(far)
-        return self.near.choose(near) or self.far.choose(far)
+            (local if self._is_local(entry) else remote)[entry.node] = entry
+        remote_share = far_share(len(local))
+        if not all(map(self._is_local, doubted)):
+            remote_share = max(remote_share, DOUBTED_FAR_SHARE)
+        if remote and self.random.random() < remote_share:
+            return self.far.choose(remote)
+        return self.near.choose(local) or self.far.choose(remote)
 
     def insert(self, entry: MemberEntry) -> None:
-        """Puts a new member somewhere into the current pass."""
-        members = self.near if self._is_near(entry) else self.far
-        members.insert(entry.node)
+        """Inserts a new member at a random position of the current pass."""
+        current = self.near if self._is_local(entry) else self.far
+        current.insert(entry.node)
 
-    def _is_near(self, entry: MemberEntry) -> bool:
+    def _is_local(self, entry: MemberEntry) -> bool:
         return entry.data_centre == self.data_centre
 
     def start_probe(self, node: str, now_ms: int) -> int:
-        """Notes a probe of a member and returns its number."""
+        """Registers a probe of a member and returns its sequence number."""
         sequence = self.take_sequence()
         self.pending[sequence] = Probe(node, now_ms)
         return sequence
 
     def relay(self, requester: str, sequence: int, now_ms: int) -> int:
-        """Notes a probe for another member and returns its number."""
-        own = self.take_sequence()
-        self.relayed[own] = RelayedProbe(requester, sequence, now_ms)
-        return own
+        """Registers a probe for another member; returns its sequence number."""
+        own_sequence = self.take_sequence()
+        self.relayed[own_sequence] = RelayedProbe(requester, sequence, now_ms)
+        return own_sequence
 
     def take_sequence(self) -> int:
-        """Returns a new number."""
+        """Returns a new sequence number."""
         sequence = self.next_sequence
         self.next_sequence += 1
         return sequence
 
     def on_reply(self, sequence: int, node: str) -> None:
-        """Ends the probe that an answer belongs to."""
+        """Removes the pending probe that a reply belongs to."""
         probe = self.pending.get(sequence)
         if probe is not None and probe.node == node:
             del self.pending[sequence]
 
     def direct_timeouts(self, now_ms: int, timeout_ms: int) -> list[int]:
-        """Returns the probes whose direct answer is overdue."""
+        """Returns the probes whose direct reply timed out."""
         return [
             sequence
             for sequence, probe in self.pending.items()
@@ -179,7 +185,7 @@
         ]
 
     def pop_timed_out(self, now_ms: int, timeout_ms: int) -> list[str]:
-        """Removes the probes without any answer and returns their members."""
+        """Removes the probes without any reply and returns their members."""
         ended = [
             sequence
             for sequence, probe in self.pending.items()
@@ -193,12 +199,12 @@
     def next_timeout_ms(
         self, direct_ms: int, whole_ms: int, none_ms: int
     ) -> int:
-        """Returns when the next probe is overdue or has failed.
+        """Returns when the next probe times out, directly or altogether.
 
         Args:
-            direct_ms: Time that a direct answer may take.
-            whole_ms: Time that any answer may take.
-            none_ms: Returned where no probe is under way.
+            direct_ms: Time-out of a direct reply.
+            whole_ms: Time-out of any reply, direct or indirect.
+            none_ms: Result if no probe is pending.
         """
         return min(
             (
@@ -209,6 +215,6 @@
         )
 
     def clear(self) -> None:
-        """Drops every probe under way."""
+        """Drops all pending probes."""
         self.pending.clear()
         self.relayed.clear()
--- a/packages/pomelobank-core/src/pomelobank_core/_swim.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim.py
@@ -1,6 +1,7 @@
 """Membership by probes and gossip, after the SWIM protocol.
 
-Frames and times go in, frames to send come out.
+The module does no input or output: its functions take received frames and the
+current time, and return the frames to send.
 """
 
 import math
@@ -25,40 +26,47 @@
 )
 from pomelobank_schema.generated.settings import MembershipSettings
 
-# Members asked to try a probe that was not answered. With one in ten streams
-# broken at random, three at once fail for 1 probe in 1,000.
+# Number of members that probe an unresponsive member indirectly. If one stream
+# in ten is broken at random, all three indirect probes fail for 1 probe in
+# 1,000.
 INDIRECT_PROBES = 3
-# Part of the buckets that differ from which on two tables are compared again
-# soon: one of them has just started or was cut off.
-_BULK_PART = 1 / 8
-# Largest gossip in one probe or answer, before it is packed to a quarter. Four
-# of them are sent a second, so a burst of news costs at most 12 KB a second of
-# the 30 KB that a node may use.
+# Minimum fraction of differing buckets after which a node soon compares its
+# table again, because one of the two nodes has just started or was partitioned.
+_BULK_FRACTION = 1 / 8
+# Maximum size of the gossip in one probe or reply before compression, which
+# reduces the size to a quarter. A node sends four such frames a second, so a
+# burst of updates costs at most 12 KB a second of the node's budget of 30 KB.
 FRAME_BYTES = 12000
-# The indirect way takes two further trips, each with its own time-out.
+# Time-out of a probe in units of the time-out of a direct reply. An indirect
+# probe takes two further round trips, each with its own time-out.
 _PROBE_TIMEOUTS = 3
-# A tick that is so many periods late means that the process stood still.
+# A time between two ticks of at least this many periods means that the process
+# was paused.
 _PAUSE_PERIODS = 3
-# Tables that differ are exchanged with one member at a time, but a node that
-# everybody joins must spend neither its core nor its line on it. Early in a
-# herd's start tables are small and many fit; a whole table of 1,000 members is
-# about 120 KB and is sent once in a second at most.
+# Budget of the replies to table comparisons. A node exchanges a differing table
+# with one member at a time, but a node that many members join at the same time
+# must spend neither its CPU core nor its network link on the replies. Early in
+# a simultaneous start of many nodes, tables are small and many replies fit. The
+# whole table of 1,000 members is about 120 KB and is sent at most once a
+# second.
 SYNC_BYTES_PER_S = 60_000
 _MS_PER_S = 1000
-# Most restarts take less. After that a member that has not come back is tried
-# once in a while only, since most likely it was replaced.
+# How long members poll a gone member in each probe period; most restarts take
+# less time. A member that does not return within this time was most likely
+# replaced, so members contact its address only once per rejoin period.
 RECENTLY_GONE_MS = 15_000
-# Members that look for one that went lately. Two, so that the loss of one does
-# not matter; with all of 1,000, a restart would meet a thousand handshakes.
+# Number of members that poll a recently gone member. With two pollers, the loss
+# of one poller does not matter; if all 1,000 members polled, a restarted node
+# would have to accept a thousand handshakes.
 POLLERS_PER_GONE_MEMBER = 2
 
 
 @attrs.frozen
 class SendFrame:
-    """Asks for a frame to be sent to a peer.
+    """Action: send a frame to a peer.
 
     Attributes:
-        address: Where the peer is reached.
+        address: Address of the peer.
         frame: The frame.
     """
 
@@ -68,7 +76,7 @@
 
 @attrs.frozen
 class ReplyFrame:
-    """Asks for a frame to be sent back on the stream that one came from.
+    """Action: send a frame back on the stream of the received frame.
 
     Attributes:
         frame: The frame.
@@ -82,21 +90,27 @@
 
 @attrs.define(eq=False)
 class Swim:
-    """Watches the members and spreads what is known about them.
+    """Detects failed members and spreads updates by gossip.
 
     Attributes:
-        table: What is known.
+        table: The node's table of members.
         settings: Periods and time-outs.
         random: Source of randomness.
-        queue: News to pass on.
-        prober: Probes under way.
-        suspicions: When each suspicion ends unless it is refuted, by node.
-        gone_ms: When each member was found to be gone, by node.
-        pauses: How often this process stood still.
-        suspected: Suspicions that began, for the metrics.
-        changes: Entries that were news since they were last taken.
-        sync_bytes: Bytes of answers to comparisons in the current second.
-        throttled_syncs: Comparisons answered in short, for the metrics.
+        queue: Updates to gossip.
+        suspicions: When each suspicion expires unless it is refuted, by node.
+        gone_ms: When this node marked each gone member as gone, by node.
+        last_tick_ms: Time of the last tick, None before the first.
+        next_probe_ms: When the next probe is due.
+        next_sync_ms: When the next comparison with a member is due.
+        next_rejoin_ms: When the next comparison with a gone member is due.
+        pauses: How often this process was paused.
+        suspected: Suspicions that this node started, for the metrics.
+        sync_second: The second that `sync_bytes` belongs to.
+        sync_bytes: Size of the replies to comparisons in the current second.
+        throttled_syncs: Comparisons whose reply named other members instead of
+            the differing entries, for the metrics.
+        changes: Entries that changed since the last call of `pop_changes`.
+        prober: Pending probes and the next members to probe.
     """
 
     table: MemberTable
@@ -122,46 +136,47 @@
 
     @property
     def gossips_versions(self) -> bool:
-        """Whether versions of other members are passed on.
+        """Whether this node gossips the versions of other members.
 
-        A change moves every member's version. Passed on by all to all, 15
-        changes within half a minute cost each of 63 members 8 KB a second.
+        A configuration change moves every member's version. If all members
+        gossip all versions, 15 changes within half a minute cost each of 63
+        members 8 KB a second.
         """
         return self.settings.version_gossip == "everybody"
 
     def tick(self, now_ms: int) -> list[SwimAction]:
-        """Does what is due.
+        """Runs the time-outs, probes and comparisons that are due.
 
         Args:
-            now_ms: Current time; called when something is due, or earlier.
+            now_ms: Current time, at or before the time of `due_ms`.
 
         Returns:
-            What to send.
+            The frames to send.
         """
-        self._notice_pause(now_ms)
+        self._detect_pause(now_ms)
         actions = self._time_out_probes(now_ms)
         self._time_out_suspicions(now_ms)
-        self._forget(now_ms)
+        self._remove_gone(now_ms)
         if now_ms >= self.next_probe_ms:
             self.next_probe_ms = now_ms + self._jittered(
                 self.settings.period_ms
             )
             actions += self._probe_next(now_ms)
-            actions += self._look_for_lately_gone(now_ms)
+            actions += self._poll_recently_gone(now_ms)
         if now_ms >= self.next_sync_ms:
             self.next_sync_ms = now_ms + self._jittered(
                 self.settings.sync_period_ms
             )
-            actions += self._sync_with_one()
+            actions += self._sync_with_member()
         if now_ms >= self.next_rejoin_ms:
             self.next_rejoin_ms = now_ms + self._jittered(
                 self.settings.rejoin_period_ms
             )
-            actions += self._try_a_gone_one()
+            actions += self._sync_with_gone_member()
         return actions
 
     def due_ms(self) -> int:
-        """Returns when the next tick has something to do."""
+        """Returns when the next time-out, probe or comparison is due."""
         timeout_ms = self.settings.probe_timeout_ms
         return min(
             self.prober.next_timeout_ms(
@@ -174,14 +189,14 @@
         )
 
     def _jittered(self, period_ms: int) -> int:
-        # Members that started together would otherwise probe in step and meet
-        # every member that they share with a burst.
+        # Without jitter, members that started at the same time would probe in
+        # step and send bursts to the members that they share.
         return round(period_ms * self.random.uniform(0.8, 1.2))
 
-    def _notice_pause(self, now_ms: int) -> None:
-        # After a pause every probe is overdue although nobody failed to answer
-        # it. A node that took this for deaths would suspect whomever it had
-        # asked; so what was under way is dropped and suspicions wait longer.
+    def _detect_pause(self, now_ms: int) -> None:
+        # After a pause of this process, every pending probe has timed out,
+        # although the probed members may have replied. The node would suspect
+        # all of them, so it drops the pending probes and extends suspicions.
         last_ms, self.last_tick_ms = self.last_tick_ms, now_ms
         if last_ms is None:
             return
@@ -194,7 +209,7 @@
             self.suspicions[node] += late_ms
 
     def _probe_next(self, now_ms: int) -> list[SwimAction]:
-        entry = self._next_partner()
+        entry = self._next_peer()
         if entry is None or not entry.peer_address:
             return []
         sequence = self.prober.start_probe(entry.node, now_ms)
@@ -205,37 +220,39 @@
         )
         return [SendFrame(entry.peer_address, request)]
 
-    def _next_partner(self) -> MemberEntry | None:
+    def _next_peer(self) -> MemberEntry | None:
         others = self.table.others
-        doubted = [others[item] for item in self.suspicions if item in others]
-        return self.prober.choose(self.table.present(), doubted)
+        suspects = [others[item] for item in self.suspicions if item in others]
+        return self.prober.choose(self.table.present(), suspects)
 
     def gossip_for(self, node: str = "") -> Gossip:
-        """Returns the next news to pass on.
+        """Returns the next gossip to send.
 
         Args:
-            node: The receiver, which has to learn what is held against it.
+            node: The receiver. If this node considers the receiver suspect or
+                gone, the gossip includes that entry so that the receiver can
+                refute it.
         """
         entry = self.table.known_entry(node)
-        doubted = entry is not None and entry.state in (
+        refutable = entry is not None and entry.state in (
             MemberState.SUSPECT.value,
             MemberState.GONE.value,
         )
-        first = (entry,) if entry is not None and doubted else ()
+        first = (entry,) if entry is not None and refutable else ()
         return self.queue.next_gossip(self.table, FRAME_BYTES, first)
 
     def _time_out_probes(self, now_ms: int) -> list[SwimAction]:
         timeout_ms = self.settings.probe_timeout_ms
         actions: list[SwimAction] = []
         for sequence in self.prober.direct_timeouts(now_ms, timeout_ms):
-            actions += self._ask_others(sequence)
+            actions += self._probe_indirectly(sequence)
         for node in self.prober.pop_timed_out(
             now_ms, _PROBE_TIMEOUTS * timeout_ms
         ):
             self.suspect(node, now_ms)
         return actions
 
-    def _ask_others(self, sequence: int) -> list[SwimAction]:
+    def _probe_indirectly(self, sequence: int) -> list[SwimAction]:
         probe = self.prober.pending[sequence]
         probe.indirect = True
         target = self.table.others.get(probe.node)
@@ -255,7 +272,7 @@
         ]
 
     def choose(self, count: int, exclude: str = "") -> list[MemberEntry]:
-        """Returns a few members that are present, in random order."""
+        """Returns up to `count` present members with an address, at random."""
         present = [
             entry
             for entry in self.table.present()
@@ -264,10 +281,10 @@
         return self.random.sample(present, min(count, len(present)))
 
     def on_unreachable(self, address: str) -> list[SwimAction]:
-        """Takes note that no stream to an address could be opened.
+        """Handles a failure to open a stream to an address.
 
-        A refused stream is known at once, so others are asked without waiting
-        for the time-out.
+        A refused stream fails at once, so the node requests indirect probes
+        without waiting for the time-out of the direct probe.
         """
         actions: list[SwimAction] = []
         for sequence, probe in list(self.prober.pending.items()):
@@ -275,11 +292,11 @@
             if probe.indirect or entry is None:
                 continue
             if entry.peer_address == address:
-                actions += self._ask_others(sequence)
+                actions += self._probe_indirectly(sequence)
         return actions
 
     def suspect(self, node: str, now_ms: int) -> None:
-        """Begins to suspect a member that answered no probe."""
+        """Starts a suspicion of a member that did not reply to a probe."""
         entry = self.table.others.get(node)
         if entry is None or entry.state == MemberState.GONE.value:
             return
@@ -288,15 +305,15 @@
         self.suspected += 1
         self.suspicions[node] = now_ms + self.suspicion_ms()
         if entry.state == MemberState.READY.value:
-            doubt = attrs.evolve(entry, state=MemberState.SUSPECT.value)
-            self.table.merge((doubt,))
+            suspected = attrs.evolve(entry, state=MemberState.SUSPECT.value)
+            self.table.merge((suspected,))
             self.queue.add(node)
 
     def suspicion_ms(self) -> int:
-        """Returns how long a suspicion lasts at the fleet's size.
+        """Returns the duration of a suspicion for the size of the fleet.
 
-        The suspect has to hear of it and its answer has to come back, which
-        takes gossip a number of rounds that grows with the logarithm.
+        Gossip has to carry the suspicion to the suspect and its refutation
+        back, in a number of rounds that grows with the logarithm of the size.
         """
         members = len(self.table.present()) + 1
         scale = max(1.0, math.log10(members))
@@ -304,19 +321,19 @@
         return round(self.settings.period_ms * rounds * scale)
 
     def _time_out_suspicions(self, now_ms: int) -> None:
-        ended = [
+        expired = [
             node
-            for node, until_ms in self.suspicions.items()
-            if now_ms >= until_ms
+            for node, expires_ms in self.suspicions.items()
+            if now_ms >= expires_ms
         ]
-        for node in ended:
+        for node in expired:
             del self.suspicions[node]
             entry = self.table.others.get(node)
             if entry is not None:
                 gone = attrs.evolve(entry, state=MemberState.GONE.value)
-                self._take_entries(self.table.merge((gone,)), now_ms)
+                self._on_updates(self.table.merge((gone,)), now_ms)
 
-    def _forget(self, now_ms: int) -> None:
+    def _remove_gone(self, now_ms: int) -> None:
         kept_ms = self.settings.gone_kept_ms
         for node, gone_ms in list(self.gone_ms.items()):
             if now_ms - gone_ms >= kept_ms:
@@ -324,47 +341,50 @@
                 self.table.remove(node)
 
     def on_gossip(self, gossip: Gossip, now_ms: int) -> None:
-        """Takes what a peer tells."""
-        sequence = self.table.own.sequence, self.table.own.incarnation
-        heard = [self._as_heard(entry, now_ms) for entry in gossip.members]
+        """Merges the gossip of a peer and queues the updates in it."""
+        own_numbers = self.table.own.sequence, self.table.own.incarnation
+        received = [
+            self._gone_to_suspect(item, now_ms) for item in gossip.members
+        ]
         known = set(self.table.others)
-        news = self.table.merge(heard)
-        for entry in news:
+        updates = self.table.merge(received)
+        for entry in updates:
             if entry.node not in known:
                 self.prober.insert(entry)
-        self._count_heard(heard, news)
-        self._take_entries(news, now_ms)
+        self._count_received(received, updates)
+        self._on_updates(updates, now_ms)
         for version in self.table.merge_versions(gossip.versions):
             if self.gossips_versions:
                 self.queue.add_version(version.node)
-        if sequence != (self.table.own.sequence, self.table.own.incarnation):
+        if own_numbers != (self.table.own.sequence, self.table.own.incarnation):
             self.queue.add(self.table.own.node)
 
-    def _count_heard(
-        self, heard: list[MemberEntry], news: list[MemberEntry]
+    def _count_received(
+        self, received: list[MemberEntry], updates: list[MemberEntry]
     ) -> None:
-        # Whoever tells what is known here knows it too, so it needs to be told
-        # once less. In a herd's start everybody has news of everybody.
-        fresh = {entry.node for entry in news}
-        for entry in heard:
+        # A peer that sends an entry known to this node needs no copy of it, so
+        # the node sends the entry once less. This saves traffic when many nodes
+        # start at the same time and each has updates about all others.
+        updated = {entry.node for entry in updates}
+        for entry in received:
             known = self.table.others.get(entry.node)
-            if entry.node not in fresh and entry == known:
+            if entry.node not in updated and entry == known:
                 self.queue.on_received(entry.node, len(self.table.others) + 1)
 
-    def _as_heard(self, entry: MemberEntry, now_ms: int) -> MemberEntry:
-        # When a cut heals, each side tells the other that its members are
-        # gone. Taken at its word this would stop the service everywhere until
-        # the last refutation has arrived; as a suspicion it leaves each member
-        # the time to refute it.
+    def _gone_to_suspect(self, entry: MemberEntry, now_ms: int) -> MemberEntry:
+        # When a network partition heals, each side gossips that the members of
+        # the other side are gone. If nodes accepted this, the service would
+        # stop everywhere until the last refutation arrived. A node therefore
+        # starts a suspicion, which gives each member the time for a refutation.
         known = self.table.others.get(entry.node)
-        rumour = (
+        unconfirmed = (
             known is not None
             and entry.state == MemberState.GONE.value
             and known.state != MemberState.GONE.value
             and (entry.incarnation, entry.sequence)
             <= (known.incarnation, known.sequence)
         )
-        if not rumour or known is None:
+        if not unconfirmed or known is None:
             return entry
         if (entry.incarnation, entry.sequence) == (
             known.incarnation,
@@ -373,8 +393,8 @@
             self.suspect(entry.node, now_ms)
         return known
 
-    def _take_entries(self, news: Iterable[MemberEntry], now_ms: int) -> None:
-        for entry in news:
+    def _on_updates(self, updates: Iterable[MemberEntry], now_ms: int) -> None:
+        for entry in updates:
             self.queue.add(entry.node)
             self.changes.append(entry)
             if entry.state == MemberState.GONE.value:
@@ -388,19 +408,19 @@
                 self.suspicions[entry.node] = now_ms + self.suspicion_ms()
 
     def pop_changes(self) -> list[MemberEntry]:
-        """Returns the entries that were news since the last call."""
+        """Returns and clears the entries that changed since the last call."""
         changes, self.changes = self.changes, []
         return changes
 
     def gossip_own_entry(self) -> list[SwimAction]:
-        """Tells a member of each data centre of a change of the own entry."""
+        """Sends a change of the own entry to one member of each data centre."""
         self.queue.add(self.table.own.node)
         return [
             SendFrame(entry.peer_address, self.gossip_for(entry.node))
-            for entry in self._one_of_each_data_centre()
+            for entry in self._one_member_per_data_centre()
         ]
 
-    def _one_of_each_data_centre(self) -> list[MemberEntry]:
+    def _one_member_per_data_centre(self) -> list[MemberEntry]:
         present = self.table.present()
         self.random.shuffle(present)
         chosen = {
@@ -409,17 +429,17 @@
         return list(chosen.values())
 
     def broadcast_own_entry(self) -> list[SwimAction]:
-        """Tells every member of the own entry, as when it starts to drain.
+        """Sends the own entry to every member, for example at a drain.
 
-        Gossip reaches the last of 1,000 members after several seconds; until
-        then it would send work to a target that is about to leave. 1,000 small
-        frames for each planned stop are few next to that: 350 a day make four
-        a second in the whole fleet.
+        Gossip takes several seconds to reach the last of 1,000 members, and
+        until then those members would send requests to a target that is about
+        to stop. In comparison, 1,000 small frames per planned stop are cheap:
+        350 stops a day make four frames a second in the whole fleet.
         """
         self.queue.add(self.table.own.node)
         gossip = Gossip(members=(self.table.own,))
-        # Streams to members that do not answer take a second each to fail, so
-        # those that are known to be in doubt must not hold up the others.
+        # A stream to a member that does not respond takes a second to fail, so
+        # the frames to suspect members go last and do not delay the others.
         suspect = MemberState.SUSPECT.value
         present = sorted(
             self.table.present(), key=lambda entry: entry.state == suspect
@@ -431,7 +451,7 @@
         ]
 
     def sync_request(self, address: str) -> SendFrame:
-        """Returns the request that compares the table with a peer's."""
+        """Returns a request to compare the own table with a peer's table."""
         digest = TableDigest.of(self.table.all())
         request = SyncRequest(
             gossip=Gossip(members=(self.table.own,)),
@@ -440,31 +460,33 @@
         )
         return SendFrame(address, request)
 
-    def _sync_with_one(self) -> list[SwimAction]:
-        entry = self._next_partner()
+    def _sync_with_member(self) -> list[SwimAction]:
+        entry = self._next_peer()
         if entry is None or not entry.peer_address:
             return []
         return [self.sync_request(entry.peer_address)]
 
     def on_sync_result(self, differing: int, now_ms: int) -> None:
-        """Takes the result of a comparison with a peer's table.
+        """Handles the result of a comparison with a peer's table.
 
-        Gossip takes a node that has just started through the whole mesh, a
-        frame at a time; a few comparisons with neighbours do it in a second.
+        A node that has just started would learn the whole mesh by gossip one
+        frame at a time. A few comparisons with neighbours take a second, so the
+        next comparison follows soon if many buckets differed.
 
         Args:
-            differing: Buckets that differed.
+            differing: Number of buckets that differed.
             now_ms: Current time.
         """
-        if differing >= BUCKET_COUNT * _BULK_PART:
+        if differing >= BUCKET_COUNT * _BULK_FRACTION:
             soon_ms = now_ms + self._jittered(self.settings.period_ms)
             self.next_sync_ms = min(self.next_sync_ms, soon_ms)
 
-    def _look_for_lately_gone(self, now_ms: int) -> list[SwimAction]:
-        # A node that is restarted while the log is away finds nobody, and a
-        # target that works stands idle beside it until the log is back. When
-        # nodes are restarted in turn meanwhile, callers are refused because no
-        # target of their upstream is left. Its former peers know its address.
+    def _poll_recently_gone(self, now_ms: int) -> list[SwimAction]:
+        # A node that restarts while the log is unavailable finds no contacts,
+        # so its healthy target receives no requests until the log returns. If
+        # nodes restart one after the other during the outage, callers are
+        # rejected because no target of their upstream is left. The former peers
+        # of a restarted node know its address and therefore poll it.
         present = [entry.node for entry in self.table.present()]
         return [
             self.sync_request(entry.peer_address)
@@ -476,9 +498,9 @@
             < POLLERS_PER_GONE_MEMBER
         ]
 
-    def _try_a_gone_one(self) -> list[SwimAction]:
-        # Two sides of a cut hold each other to be gone and would never meet
-        # again after it has healed, because nobody probes the gone.
+    def _sync_with_gone_member(self) -> list[SwimAction]:
+        # After a network partition, both sides consider each other gone. They
+        # would never reconnect, because no node probes gone members.
         gone = [
             entry.peer_address
             for node in sorted(self.gone_ms)
@@ -489,9 +511,14 @@
         return [self.sync_request(self.random.choice(gone))]
 
     def acquire_sync_budget(self, size_bytes: int, now_ms: int) -> bool:
-        """Tells whether one more answer of a size is allowed in this second.
+        """Returns whether the budget of this second allows one more reply.
+
+        The first reply of a second is always allowed, whatever its size. An
+        allowed reply is deducted from the budget.
 
-        The first one always is, however large.
+        Args:
+            size_bytes: Size of the reply.
+            now_ms: Current time.
         """
         second = now_ms // _MS_PER_S
         if second != self.sync_second:
@@ -505,14 +532,14 @@
 
     def versions_in(self, buckets: set[int]) -> tuple[MemberVersion, ...]:
         """Returns the versions of the members in some buckets."""
-        from_buckets = self.entries_in(buckets)
+        entries = self.entries_in(buckets)
         return tuple(
             MemberVersion(
                 node=entry.node,
                 incarnation=entry.incarnation,
                 version=entry.version,
             )
-            for entry in from_buckets
+            for entry in entries
         )
 
     def entries_in(self, buckets: set[int]) -> tuple[MemberEntry, ...]:
--- a/packages/pomelobank-core/src/pomelobank_core/_swim_frames.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim_frames.py
@@ -1,4 +1,4 @@
-"""What membership does about each frame of a peer."""
+"""Handlers of the membership frames that a node receives from its peers."""
 
 import functools
 
@@ -15,25 +15,25 @@
     SyncRequest,
 )
 
-# Members named to a node that has to compare its table with somebody else. In
-# the first second of a herd nearly all are sent on, so that their names cost
-# more than the tables that are sent.
-_REFERRALS = 3
+# Number of members in a reply that refers a node to other members for its table
+# comparison. In the first second of a simultaneous start of many nodes, nearly
+# all nodes are referred, so that the referrals cost more bytes than the tables.
+_REFERRAL_COUNT = 3
 
 
 @functools.singledispatch
 def handle_frame(
     frame: WireMessage, swim: Swim, now_ms: int
 ) -> list[SwimAction]:
-    """Takes a frame of a peer.
+    """Handles a frame from a peer.
 
     Args:
-        frame: The frame; other kinds than membership's are ignored.
-        swim: The node's membership.
+        frame: The frame; kinds that are not part of membership are ignored.
+        swim: The node's membership state.
         now_ms: Current time.
 
     Returns:
-        What to send.
+        The frames to send.
     """
     return []
 
@@ -48,7 +48,7 @@
 
 @handle_frame.register
 def _(frame: ProbeRequest, swim: Swim, now_ms: int) -> list[SwimAction]:
-    sender = _learn(frame.gossip, swim, now_ms)
+    sender = _merge_gossip(frame.gossip, swim, now_ms)
     reply = ProbeReply(
         sequence=frame.sequence,
         node=swim.table.own.node,
@@ -59,24 +59,24 @@
 
 @handle_frame.register
 def _(frame: ProbeReply, swim: Swim, now_ms: int) -> list[SwimAction]:
-    _learn(frame.gossip, swim, now_ms)
+    _merge_gossip(frame.gossip, swim, now_ms)
     swim.prober.on_reply(frame.sequence, frame.node)
     relayed = swim.prober.relayed.pop(frame.sequence, None)
     if relayed is None:
         return []
-    answer = ProbeReply(
+    reply = ProbeReply(
         sequence=relayed.sequence, node=frame.node, gossip=swim.gossip_for()
     )
-    return [SendFrame(relayed.requester, answer)]
+    return [SendFrame(relayed.requester, reply)]
 
 
 @handle_frame.register
 def _(frame: IndirectProbe, swim: Swim, now_ms: int) -> list[SwimAction]:
-    sender = _learn(frame.gossip, swim, now_ms)
-    asking = swim.table.others.get(sender)
-    if asking is None or not frame.peer_address:
+    sender = _merge_gossip(frame.gossip, swim, now_ms)
+    requester = swim.table.others.get(sender)
+    if requester is None or not frame.peer_address:
         return []
-    sequence = swim.prober.relay(asking.peer_address, frame.sequence, now_ms)
+    sequence = swim.prober.relay(requester.peer_address, frame.sequence, now_ms)
     request = ProbeRequest(
         sequence=sequence, node=frame.node, gossip=swim.gossip_for(frame.node)
     )
@@ -85,54 +85,54 @@
 
 @handle_frame.register
 def _(frame: SyncRequest, swim: Swim, now_ms: int) -> list[SwimAction]:
-    sender = _learn(frame.gossip, swim, now_ms)
+    sender = _merge_gossip(frame.gossip, swim, now_ms)
     own = TableDigest.of(swim.table.all())
     entries = differing_buckets(own.entries, frame.entries)
     versions = []
     if swim.gossips_versions:
         versions = differing_buckets(own.versions, frame.versions)
-    others = set(versions) - set(entries)
-    different = swim.entries_in(set(entries))
-    moved = swim.versions_in(others)
-    size = sum(map(entry_size_bytes, different)) + sum(
+    version_only = set(versions) - set(entries)
+    differing = swim.entries_in(set(entries))
+    moved = swim.versions_in(version_only)
+    size_bytes = sum(map(entry_size_bytes, differing)) + sum(
         map(version_size_bytes, moved)
     )
-    if size and not swim.acquire_sync_budget(size, now_ms):
+    if size_bytes and not swim.acquire_sync_budget(size_bytes, now_ms):
         return [ReplyFrame(SyncReply(gossip=_referrals(swim, sender)))]
-    claim = swim.table.known_entry(sender)
-    members = (swim.table.own, *different)
-    if claim is not None:
-        members += (claim,)
+    known_sender = swim.table.known_entry(sender)
+    members = (swim.table.own, *differing)
+    if known_sender is not None:
+        members += (known_sender,)
     reply = SyncReply(
         gossip=Gossip(members=members, versions=moved),
         entry_buckets=tuple(entries),
-        version_buckets=tuple(sorted(others)),
+        version_buckets=tuple(sorted(version_only)),
     )
     return [ReplyFrame(reply)]
 
 
 def _referrals(swim: Swim, sender: str) -> Gossip:
-    others = swim.choose(_REFERRALS, exclude=sender)
-    return Gossip(members=(swim.table.own, *others))
+    referred = swim.choose(_REFERRAL_COUNT, exclude=sender)
+    return Gossip(members=(swim.table.own, *referred))
 
 
 @handle_frame.register
 def _(frame: SyncReply, swim: Swim, now_ms: int) -> list[SwimAction]:
-    _learn(frame.gossip, swim, now_ms)
+    _merge_gossip(frame.gossip, swim, now_ms)
     wanted = set(frame.entry_buckets)
     versions = set(frame.version_buckets)
     swim.on_sync_result(len(wanted), now_ms)
     if not wanted and not versions:
         return []
-    answer = Gossip(
+    reply = Gossip(
         members=(swim.table.own, *swim.entries_in(wanted)),
         versions=swim.versions_in(versions),
     )
-    return [ReplyFrame(answer)]
+    return [ReplyFrame(reply)]
 
 
-def _learn(gossip: Gossip | None, swim: Swim, now_ms: int) -> str:
-    # A peer may send an empty field here; it then says nothing of itself.
+def _merge_gossip(gossip: Gossip | None, swim: Swim, now_ms: int) -> str:
+    # A peer may send a frame without gossip, and then does not name itself.
     if gossip is None:
         return ""
     swim.on_gossip(gossip, now_ms)
