--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claim_attempts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claim_attempts.py
@@ -1,4 +1,4 @@
-"""A node's try to claim a key."""
+"""Tests of a node's attempt to claim a key."""
 
 import pytest
 
@@ -25,13 +25,19 @@
         pytest.param(PENDING, False, 0, ClaimAttemptStep.LOST, id="lost"),
         pytest.param(PENDING, True, 100, ClaimAttemptStep.EXPIRED, id="paused"),
         pytest.param(
-            ABANDONED, True, 0, ClaimAttemptStep.RELEASE, id="given-up"
+            ABANDONED, True, 0, ClaimAttemptStep.RELEASE, id="abandoned"
+        ),
+        pytest.param(
+            ABANDONED,
+            False,
+            0,
+            ClaimAttemptStep.NOTHING,
+            id="abandoned-and-lost",
         ),
-        pytest.param(ABANDONED, False, 0, ClaimAttemptStep.NOTHING, id="both"),
         pytest.param(RUNNING, True, 0, ClaimAttemptStep.NOTHING, id="repeated"),
     ],
 )
-def test_claim_seen(
+def test_on_claim_seen(
     attempt: ClaimAttempt, won: bool, now_ms: int, step: ClaimAttemptStep
 ) -> None:
     assert on_claim_seen(attempt, won, now_ms)[1] is step
@@ -45,11 +51,11 @@
         pytest.param(RunState.RAN, ClaimAttemptStep.COMPLETE, id="ran"),
     ],
 )
-def test_run_ended(run_state: RunState, step: ClaimAttemptStep) -> None:
-    ended, found = on_run_ended(RUNNING, run_state)
-    assert (ended.state, found) == (ClaimAttemptState.ENDED, step)
+def test_on_run_ended(run_state: RunState, step: ClaimAttemptStep) -> None:
+    ended, next_step = on_run_ended(RUNNING, run_state)
+    assert (ended.state, next_step) == (ClaimAttemptState.ENDED, step)
     assert on_run_ended(ended, run_state)[1] is ClaimAttemptStep.NOTHING
 
 
-def test_a_running_attempt_cannot_be_given_up() -> None:
+def test_a_running_attempt_cannot_be_abandoned() -> None:
     assert abandon(RUNNING) is RUNNING
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""The claims of a shard, replayed."""
+"""Tests of the replay of a shard's claims."""
 
 import attrs
 import pytest
@@ -47,8 +47,8 @@
 
 
 def complete(writer: str, number: int, error: str = "") -> ClaimBatch:
-    answer = None if error else StoredResponse(200, (), b"done")
-    record = completion_record(b"a", number, error, answer, max_bytes=100)
+    response = None if error else StoredResponse(200, (), b"done")
+    record = completion_record(b"a", number, error, response, max_bytes=100)
     return ClaimBatch(
         writer=writer, at_ms=1, window_ms=WINDOW_MS, completions=(record,)
     )
@@ -104,7 +104,7 @@
     assert (found and (found.writer, found.number)) == expected
 
 
-def test_events_tell_the_writer_what_became_of_its_claim() -> None:
+def test_events_report_the_outcome_of_a_claim_to_its_writer() -> None:
     table = ClaimTable()
     assert table.apply(0, claim("x", 1)) == [
         ClaimSeen(ClaimId("x", 1), b"a", won=True)
@@ -131,13 +131,14 @@
         pytest.param(4, 800 + WINDOW_MS, id="its-writer-lagged"),
     ],
 )
-def test_trimmed_history_holds_new_keys_back(
+def test_new_keys_wait_after_trimming(
     seen_offset: int, complete_from_ms: int
 ) -> None:
-    """The log kept its records for less time than keys are remembered.
+    """The log retains its records for less time than the window of the keys.
 
-    A node that begins to read then knows nothing of the keys that were
-    claimed in the missing part. A user would see an order lodged twice.
+    A node that starts to read does not know the keys that were claimed in the
+    trimmed records. Without the wait, a request could run twice, for example
+    an order would be placed twice.
     """
     table = ClaimTable()
     table.reset(5, now_ms=800)
@@ -149,10 +150,11 @@
     assert table.window_wait_ms(now_ms=complete_from_ms) == 0
 
 
-def test_full_table_refuses_rather_than_forgets() -> None:
-    """More keys come in within the window than the node has memory for.
+def test_a_full_table_rejects_new_keys_instead_of_evicting_keys() -> None:
+    """More keys arrive within the window than the table may hold.
 
-    Were the oldest dropped, its caller's next sending would run again.
+    If the table evicted the oldest key, a retry of its caller would run the
+    request again.
     """
     table = replay(claim("x", 1, b"a"), claim("x", 2, b"b"))
     assert table.capacity_wait_ms(now_ms=1, limit=2) == WINDOW_MS
@@ -160,21 +162,21 @@
     assert set(table.claims) == {b"a", b"b"}
 
 
-def test_large_answers_stay_out_of_the_log() -> None:
-    answer = StoredResponse(201, (), b"x" * 101)
-    record = completion_record(b"a", 1, "", answer, max_bytes=100)
+def test_large_responses_are_not_written_to_the_log() -> None:
+    response = StoredResponse(201, (), b"x" * 101)
+    record = completion_record(b"a", 1, "", response, max_bytes=100)
     assert (record.kept, record.status, record.body) == (False, 201, b"")
 
 
-def test_a_node_that_goes_moves_only_its_own_shards() -> None:
+def test_only_the_shards_of_a_leaving_node_move() -> None:
     nodes = [f"node-{index}" for index in range(20)]
     for shard in range(SHARD_COUNT):
         first, second = rank_claimants(shard, nodes)[:2]
-        left = [node for node in nodes if node != first]
-        assert rank_claimants(shard, left)[0] == second
+        remaining = [node for node in nodes if node != first]
+        assert rank_claimants(shard, remaining)[0] == second
 
 
-def test_keys_spread_over_all_shards() -> None:
+def test_keys_are_distributed_over_all_shards() -> None:
     shards = {shard_of(claim_key(f"s\n{index}")) for index in range(500)}
     assert shards == set(range(SHARD_COUNT))
 
@@ -191,11 +193,13 @@
 )
 
 
-def build(steps: list[tuple[str, str, int, bytes, int]]) -> list[ClaimBatch]:
-    found = []
+def build_batches(
+    steps: list[tuple[str, str, int, bytes, int]],
+) -> list[ClaimBatch]:
+    built = []
     now_ms = 0
-    for kind, writer, number, key, passed_ms in steps:
-        now_ms += passed_ms
+    for kind, writer, number, key, elapsed_ms in steps:
+        now_ms += elapsed_ms
         batch = ClaimBatch(writer=writer, at_ms=now_ms, window_ms=WINDOW_MS)
         if kind == "claim":
             batch = claim(writer, number, key, now_ms)
@@ -206,16 +210,16 @@
             error = "upstream_lost" if kind == "lost" else ""
             done = ClaimCompletion(key=key, number=number, error=error)
             batch = attrs.evolve(batch, completions=(done,))
-        found.append(batch)
-    return found
+        built.append(batch)
+    return built
 
 
 @given(batches)
-def test_nobody_takes_a_held_key_over(
+def test_no_other_claim_takes_over_a_held_key(
     steps: list[tuple[str, str, int, bytes, int]],
 ) -> None:
     table = ClaimTable()
-    for offset, batch in enumerate(build(steps)):
+    for offset, batch in enumerate(build_batches(steps)):
         before = dict(table.claims)
         table.apply(offset, batch)
         for key, held in before.items():
@@ -235,23 +239,26 @@
 
 
 @given(batches, st.integers(0, 20))
-def test_readers_that_begin_after_trimming_agree(
-    steps: list[tuple[str, str, int, bytes, int]], cut: int
+def test_readers_that_start_after_trimming_agree(
+    steps: list[tuple[str, str, int, bytes, int]], trimmed: int
 ) -> None:
-    """Two nodes serve a shard; one of them began to read after trimming.
+    """Two nodes serve a shard, and one node started to read after trimming.
 
-    Where the trimmed records are older than the window, both must see the
-    same holders, or each could run the same request.
+    If the trimmed records are older than the window, both nodes must see the
+    same holders; otherwise each node could run the same request.
     """
-    records = build(steps)
-    whole = replay(*records)
-    cut = min(cut, len(records))
-    left = records[cut:]
-    if not left or records[cut - 1].at_ms + WINDOW_MS > left[0].at_ms:
+    records = build_batches(steps)
+    complete_table = replay(*records)
+    trimmed = min(trimmed, len(records))
+    retained = records[trimmed:]
+    if (
+        not retained
+        or records[trimmed - 1].at_ms + WINDOW_MS > retained[0].at_ms
+    ):
         return
-    late = ClaimTable()
-    late.reset(cut, now_ms=0)
-    for batch in left:
-        late.apply(late.next_offset, batch)
+    late_reader = ClaimTable()
+    late_reader.reset(trimmed, now_ms=0)
+    for batch in retained:
+        late_reader.apply(late_reader.next_offset, batch)
     for key in KEYS:
-        assert late.find(key, 0) == whole.find(key, 0)
+        assert late_reader.find(key, 0) == complete_table.find(key, 0)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_model.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_model.py
@@ -1,12 +1,12 @@
 """Model of the claims of one key, checked over all interleavings.
 
-Two nodes serve the key's shard; each sees the log as far as it has read. A
-caller sends its request and sends it again; an entry may lose sight of a node
-and ask the other. Appends take effect late, or never, whoever waits for them;
-a node may stop at any point, for any time or for good. A node that dies and
-comes back is a reader with a new name that begins at the first record, as the
-second node does. The nodes act through core's own functions, so the search is
-over the real rules.
+Two nodes serve the key's shard, and each node knows the log up to its own
+offset. A caller sends its request and then retries; an entry may lose its
+connection to a node and send the request to the other node. Appends take
+effect late or never, independently of their writers. A node may pause at any
+point for any time or stop forever. A node that dies and restarts is a reader
+with a new name that starts at the first record, which the second node covers.
+The nodes call the functions of core, so the search checks the real rules.
 """
 
 import functools
@@ -42,16 +42,16 @@
 
 KEY = b"k"
 DEADLINE_MS = 1
-# The rules as they stand reach 59,060 states; minicheck calls a search that
-# meets this bound unfinished, and the test fails.
+# Bound of the search. The current rules reach 59,060 states; minicheck reports
+# a search that meets the bound as unfinished, and the test then fails.
 MAX_STATES = 100_000
-_Step = tuple[str, "World"]
-Holds = Callable[[dict[str, "World"]], bool]
+_Step = tuple[str, "SystemState"]
+Holds = Callable[[dict[str, "SystemState"]], bool]
 
 
 @attrs.frozen(cache_hash=True)
 class Record:
-    """A record of the shard's stream, reduced to what the rules look at."""
+    """A record of the shard's stream, reduced to the fields in the rules."""
 
     writer: str
     number: int
@@ -72,7 +72,7 @@
 
 @attrs.frozen(cache_hash=True)
 class Node:
-    """A claiming node: what it has read and the attempts it has made."""
+    """A claiming node with its read offset and its attempts."""
 
     writer: str
     read: int = 0
@@ -93,73 +93,81 @@
 
 @attrs.frozen(cache_hash=True)
 class Sending:
-    """One sending of the caller: the nodes asked and what they answered."""
+    """One sending by the caller, with the contacted nodes and their results."""
 
-    asked: tuple[int, ...] = ()
+    contacted: tuple[int, ...] = ()
     results: tuple[RunState | None, ...] = ()
     ran: int = 0
 
 
 @attrs.frozen(cache_hash=True)
-class World:
-    """Everything there is."""
+class SystemState:
+    """State of the whole model."""
 
     log: tuple[Record, ...] = ()
-    flying: frozenset[Record] = frozenset()
+    in_flight: frozenset[Record] = frozenset()
     nodes: tuple[Node, ...] = (Node("a"), Node("b"))
     sendings: tuple[Sending, ...] = (Sending(), Sending())
 
-    def node(self, index: int, node: Node) -> "World":
+    def node(self, index: int, node: Node) -> "SystemState":
         nodes = list(self.nodes)
         nodes[index] = node
         return attrs.evolve(self, nodes=tuple(nodes))
 
-    def sending(self, index: int, sending: Sending) -> "World":
+    def sending(self, index: int, sending: Sending) -> "SystemState":
         sendings = list(self.sendings)
         sendings[index] = sending
         return attrs.evolve(self, sendings=tuple(sendings))
 
-    def reply(self, index: int, sending: int, result: RunState) -> "World":
-        one = self.sendings[sending]
-        if index not in one.asked:
+    def reply(
+        self, index: int, sending: int, result: RunState
+    ) -> "SystemState":
+        current = self.sendings[sending]
+        if index not in current.contacted:
             return self
-        place = one.asked.index(index)
-        if one.results[place] is not None:
+        position = current.contacted.index(index)
+        if current.results[position] is not None:
             return self
-        results = list(one.results)
-        results[place] = result
-        return self.sending(sending, attrs.evolve(one, results=tuple(results)))
+        results = list(current.results)
+        results[position] = result
+        return self.sending(
+            sending, attrs.evolve(current, results=tuple(results))
+        )
 
-    def append(self, *records: Record) -> "World":
-        return attrs.evolve(self, flying=self.flying | set(records))
+    def append(self, *records: Record) -> "SystemState":
+        return attrs.evolve(self, in_flight=self.in_flight | set(records))
 
 
 @attrs.frozen
 class Rules:
-    """The functions that the nodes act by; a mutation replaces one."""
+    """The functions that the nodes call; a mutation replaces one of them."""
 
     table: type[ClaimTable] = ClaimTable
-    seen: Callable[..., tuple[ClaimAttempt, ClaimAttemptStep]] = on_claim_seen
-    give_up: Callable[[ClaimAttempt], ClaimAttempt] = abandon
-    ended: Callable[..., tuple[ClaimAttempt, ClaimAttemptStep]] = on_run_ended
+    on_seen: Callable[..., tuple[ClaimAttempt, ClaimAttemptStep]] = (
+        on_claim_seen
+    )
+    on_abandon: Callable[[ClaimAttempt], ClaimAttempt] = abandon
+    on_ended: Callable[..., tuple[ClaimAttempt, ClaimAttemptStep]] = (
+        on_run_ended
+    )
     combine: Callable[[RunState, RunState], RunState] = combine_run_states
-    reads_back: bool = True
-    appends_again: bool = False
+    awaits_claim: bool = True
+    repeats_claims: bool = False
     repeats: bool = False
-    world: World = World()
+    system: SystemState = SystemState()
 
     @classmethod
     def repeating(cls, table: type[ClaimTable] = ClaimTable) -> "Rules":
-        """One node, a patient caller, and releases appended twice."""
+        """One node, a caller that waits, and releases appended twice."""
         sendings = (Sending(),) * 3
-        world = World(nodes=(Node("a"),), sendings=sendings)
-        return cls(table=table, repeats=True, world=world)
+        system = SystemState(nodes=(Node("a"),), sendings=sendings)
+        return cls(table=table, repeats=True, system=system)
 
 
-def told(rules: Rules, sending: Sending) -> RunState | None:
-    """What the caller was told; None while its entry still waits."""
+def caller_result(rules: Rules, sending: Sending) -> RunState | None:
+    """Returns the caller's result; None while its entry still waits."""
     results = [item for item in sending.results if item is not None]
-    if not results or len(results) < len(sending.asked):
+    if not results or len(results) < len(sending.contacted):
         return None
     return functools.reduce(rules.combine, results)
 
@@ -181,153 +189,161 @@
             events = table.apply(offset, record.batch())
         return table.find(KEY, 0), tuple(events)
 
-    def transitions(self, state: tuple[World]) -> list[tuple[str, Any]]:
-        # One counterexample is enough: nothing is searched after it.
+    def transitions(self, state: tuple[SystemState]) -> list[tuple[str, Any]]:
+        # One counterexample suffices, so the search ends after it.
         if self.broken:
             return []
-        return [(label, (world,)) for label, world in self.steps(state[0])]
+        return [(label, (system,)) for label, system in self.steps(state[0])]
 
-    def watched(self, holds: Holds) -> Holds:
-        """Returns an invariant that ends the search once it is broken."""
+    def ending_search(self, holds: Holds) -> Holds:
+        """Returns an invariant that ends the search when it is violated."""
 
-        def watch(state: dict[str, World]) -> bool:
+        def check_invariant(state: dict[str, SystemState]) -> bool:
             found = holds(state)
             self.broken = self.broken or not found
             return found
 
-        return watch
-
-    def steps(self, world: World) -> Iterator[_Step]:
-        yield from self.log_steps(world)
-        for sending in range(len(world.sendings)):
-            yield from self.entry_steps(world, sending)
-        for index in range(len(world.nodes)):
-            yield from self.node_steps(world, index)
-
-    def log_steps(self, world: World) -> Iterator[_Step]:
-        for record in world.flying:
-            left = attrs.evolve(world, flying=world.flying - {record})
-            effect = attrs.evolve(left, log=(*world.log, record))
-            # An append that never takes effect is one that stays in flight.
-            yield f"append {record} takes effect", effect
-            # A release whose answer was lost is appended once more.
-            repeats = self.rules.repeats and record not in world.log
+        return check_invariant
+
+    def steps(self, system: SystemState) -> Iterator[_Step]:
+        yield from self.log_steps(system)
+        for sending in range(len(system.sendings)):
+            yield from self.entry_steps(system, sending)
+        for index in range(len(system.nodes)):
+            yield from self.node_steps(system, index)
+
+    def log_steps(self, system: SystemState) -> Iterator[_Step]:
+        for record in system.in_flight:
+            landed = attrs.evolve(system, in_flight=system.in_flight - {record})
+            effective = attrs.evolve(landed, log=(*system.log, record))
+            # An append that never takes effect stays in flight forever.
+            yield f"append {record} takes effect", effective
+            # The writer appends a release again if the log's reply was lost.
+            repeats = self.rules.repeats and record not in system.log
             if record.kind == "release" and repeats:
-                again = attrs.evolve(effect, flying=world.flying)
-                yield f"append {record} takes effect, answer lost", again
-
-    def entry_steps(self, world: World, sending: int) -> Iterator[_Step]:
-        one = world.sendings[sending]
-        waiting = None in one.results
-        if not waiting and self.may_ask(world, sending):
-            # The nodes are alike: the first sending goes to node 0 first.
-            nodes = set(range(len(world.nodes)))
-            nodes = nodes if sending or one.asked else {0}
-            for index in nodes - set(one.asked):
-                asked = Sending(
-                    (*one.asked, index), (*one.results, None), one.ran
+                repeated = attrs.evolve(effective, in_flight=system.in_flight)
+                yield f"append {record} takes effect, reply lost", repeated
+
+    def entry_steps(self, system: SystemState, sending: int) -> Iterator[_Step]:
+        current = system.sendings[sending]
+        waiting = None in current.results
+        if not waiting and self.may_contact(system, sending):
+            # The nodes are equal, so the first sending can start at node 0.
+            nodes = set(range(len(system.nodes)))
+            nodes = nodes if sending or current.contacted else {0}
+            for index in nodes - set(current.contacted):
+                contacted = Sending(
+                    (*current.contacted, index),
+                    (*current.results, None),
+                    current.ran,
                 )
                 label = f"sending {sending} goes to {index}"
-                yield label, world.sending(sending, asked)
+                yield label, system.sending(sending, contacted)
         if waiting and not self.rules.repeats:
-            lost = world.reply(one.asked[-1], sending, RunState.UNKNOWN)
-            yield f"entry of {sending} loses sight", lost
-
-    def may_ask(self, world: World, sending: int) -> bool:
-        one = world.sendings[sending]
-        if one.asked:
-            # Only the first sending is taken to the other node as well.
-            unknown = one.results == (RunState.UNKNOWN,)
+            lost = system.reply(
+                current.contacted[-1], sending, RunState.UNKNOWN
+            )
+            yield f"entry of {sending} loses the connection", lost
+
+    def may_contact(self, system: SystemState, sending: int) -> bool:
+        current = system.sendings[sending]
+        if current.contacted:
+            # Only the first sending may also go to the other node.
+            unknown = current.results == (RunState.UNKNOWN,)
             return unknown and sending == 0
-        before = world.sendings[:sending]
-        return all(told(self.rules, item) for item in before)
+        before = system.sendings[:sending]
+        return all(caller_result(self.rules, item) for item in before)
 
-    def node_steps(self, world: World, index: int) -> Iterator[_Step]:
-        node = world.nodes[index]
-        for sending, one in enumerate(world.sendings):
+    def node_steps(self, system: SystemState, index: int) -> Iterator[_Step]:
+        node = system.nodes[index]
+        for sending, current in enumerate(system.sendings):
             served = [item for item, _ in node.attempts if item == sending]
-            if index in one.asked and not served:
-                yield from self.serve_steps(world, index, sending)
+            if index in current.contacted and not served:
+                yield from self.serve_steps(system, index, sending)
         for sending, attempt in node.attempts:
-            yield from self.attempt_steps(world, index, sending, attempt)
-        if node.read < len(world.log):
-            yield from self.read_steps(world, index)
+            yield from self.attempt_steps(system, index, sending, attempt)
+        if node.read < len(system.log):
+            yield from self.read_steps(system, index)
 
     def serve_steps(
-        self, world: World, index: int, sending: int
+        self, system: SystemState, index: int, sending: int
     ) -> Iterator[_Step]:
-        node = world.nodes[index]
+        node = system.nodes[index]
         under_way = (ClaimAttemptState.PENDING, ClaimAttemptState.RUNNING)
         label = f"node {index} serves {sending}"
-        claim, _ = self.replayed(world.log[: node.read])
+        claim, _ = self.replayed(system.log[: node.read])
         if any(item.state in under_way for _, item in node.attempts):
-            yield label, world.reply(index, sending, RunState.UNKNOWN)
+            yield label, system.reply(index, sending, RunState.UNKNOWN)
         elif claim is not None and claim.claim_id not in node.released:
             result = RunState.UNKNOWN
             if claim.status is ClaimStatus.ANSWERED:
                 result = RunState.RAN
-            yield label, world.reply(index, sending, result)
+            yield label, system.reply(index, sending, result)
         else:
             number = len(node.attempts) + 1
             attempt = ClaimAttempt(
                 ClaimId(node.writer, number), KEY, DEADLINE_MS
             )
-            if not self.rules.reads_back:
+            if not self.rules.awaits_claim:
                 attempt = attrs.evolve(attempt, state=ClaimAttemptState.RUNNING)
-            after = world.node(index, node.with_attempt(sending, attempt))
+            after = system.node(index, node.with_attempt(sending, attempt))
             yield label, after.append(Record(node.writer, number, "claim"))
 
     def attempt_steps(
-        self, world: World, index: int, sending: int, attempt: ClaimAttempt
+        self,
+        system: SystemState,
+        index: int,
+        sending: int,
+        attempt: ClaimAttempt,
     ) -> Iterator[_Step]:
-        node = world.nodes[index]
-        given_up = self.rules.give_up(attempt)
-        if given_up != attempt:
-            after = world.node(index, node.with_attempt(sending, given_up))
+        node = system.nodes[index]
+        abandoned = self.rules.on_abandon(attempt)
+        if abandoned != attempt:
+            after = system.node(index, node.with_attempt(sending, abandoned))
             after = after.reply(index, sending, RunState.NOT_RUN)
-            yield f"node {index} gives {sending} up", after
+            yield f"node {index} abandons {sending}", after
         record = Record(node.writer, attempt.claim_id.number, "claim")
         if (
-            self.rules.appends_again
+            self.rules.repeats_claims
             and attempt.state is ClaimAttemptState.PENDING
         ):
-            yield f"node {index} appends again", world.append(record)
+            yield f"node {index} appends again", system.append(record)
         if attempt.state is ClaimAttemptState.RUNNING:
-            # To the rules an answer is one more outcome that may have run.
+            # For the rules, a response equals an outcome that may have run.
             for result in (RunState.NOT_RUN, RunState.UNKNOWN):
                 label = f"node {index} runs {sending}: {result.value}"
-                yield label, self.run(world, index, sending, attempt, result)
+                yield label, self.run(system, index, sending, attempt, result)
 
     def run(
         self,
-        world: World,
+        system: SystemState,
         index: int,
         sending: int,
         attempt: ClaimAttempt,
         result: RunState,
-    ) -> World:
-        node = world.nodes[index]
-        one = world.sendings[sending]
-        # The worst case of an unknown outcome is that it ran.
+    ) -> SystemState:
+        node = system.nodes[index]
+        current = system.sendings[sending]
+        # In the worst case, a request with an unknown outcome ran.
         if result is not RunState.NOT_RUN:
-            one = attrs.evolve(one, ran=one.ran + 1)
-        ended, step = self.rules.ended(attempt, result)
+            current = attrs.evolve(current, ran=current.ran + 1)
+        ended, step = self.rules.on_ended(attempt, result)
         node = node.with_attempt(sending, ended)
         kind = "lost"
         if step is ClaimAttemptStep.RELEASE:
             kind = "release"
             released = node.released | {attempt.claim_id}
             node = attrs.evolve(node, released=released)
-        world = world.node(index, node).sending(sending, one)
-        world = world.reply(index, sending, result)
-        return world.append(Record(node.writer, attempt.claim_id.number, kind))
+        system = system.node(index, node).sending(sending, current)
+        system = system.reply(index, sending, result)
+        return system.append(Record(node.writer, attempt.claim_id.number, kind))
 
-    def read_steps(self, world: World, index: int) -> Iterator[_Step]:
-        node = world.nodes[index]
-        prefix = world.log[: node.read + 1]
+    def read_steps(self, system: SystemState, index: int) -> Iterator[_Step]:
+        node = system.nodes[index]
+        prefix = system.log[: node.read + 1]
         _, events = self.replayed(prefix)
         moved = attrs.evolve(node, read=node.read + 1)
-        after = world.node(index, moved)
+        after = system.node(index, moved)
         label = f"node {index} reads {prefix[-1]}"
         own = [
             (sending, attempt, event.won)
@@ -340,67 +356,67 @@
             yield label, after
         for sending, attempt, won in own:
             for now_ms in (0, DEADLINE_MS):
-                seen, step = self.rules.seen(attempt, won, now_ms)
+                seen, step = self.rules.on_seen(attempt, won, now_ms)
                 yield (
                     f"{label} at {now_ms}: {step.value}",
-                    self.decided(after, index, sending, seen, step),
+                    self.apply_step(after, index, sending, seen, step),
                 )
 
-    def decided(
+    def apply_step(
         self,
-        world: World,
+        system: SystemState,
         index: int,
         sending: int,
         attempt: ClaimAttempt,
         step: ClaimAttemptStep,
-    ) -> World:
-        node = world.nodes[index].with_attempt(sending, attempt)
+    ) -> SystemState:
+        node = system.nodes[index].with_attempt(sending, attempt)
         if step in (ClaimAttemptStep.RELEASE, ClaimAttemptStep.EXPIRED):
             released = node.released | {attempt.claim_id}
             node = attrs.evolve(node, released=released)
             number = attempt.claim_id.number
-            world = world.append(Record(node.writer, number, "release"))
-        world = world.node(index, node)
+            system = system.append(Record(node.writer, number, "release"))
+        system = system.node(index, node)
         if step is ClaimAttemptStep.EXPIRED:
-            world = world.reply(index, sending, RunState.NOT_RUN)
+            system = system.reply(index, sending, RunState.NOT_RUN)
         if step is ClaimAttemptStep.LOST:
-            # The other claim's outcome; unknown covers every case of it.
-            world = world.reply(index, sending, RunState.UNKNOWN)
-        return world
+            # The result is the other claim's outcome; UNKNOWN covers all cases.
+            system = system.reply(index, sending, RunState.UNKNOWN)
+        return system
 
 
-def runs_at_most_once(state: dict[str, World]) -> bool:
-    return sum(item.ran for item in state["world"].sendings) <= 1
+def runs_at_most_once(state: dict[str, SystemState]) -> bool:
+    return sum(item.ran for item in state["system"].sendings) <= 1
 
 
 def not_run_is_true(rules: Rules) -> Holds:
-    def holds(state: dict[str, World]) -> bool:
+    def holds(state: dict[str, SystemState]) -> bool:
         return not any(
-            item.ran and told(rules, item) is RunState.NOT_RUN
-            for item in state["world"].sendings
+            item.ran and caller_result(rules, item) is RunState.NOT_RUN
+            for item in state["system"].sendings
         )
 
     return holds
 
 
-def key_comes_free(model: ClaimsModel) -> Holds:
-    """Where all is quiet and nothing ran, the key is free."""
+def key_becomes_free(model: ClaimsModel) -> Holds:
+    """The key is free if no node or append is active and nothing ran."""
 
-    def holds(state: dict[str, World]) -> bool:
-        world = state["world"]
-        quiet = not world.flying and all(
-            node.read == len(world.log) for node in world.nodes
+    def holds(state: dict[str, SystemState]) -> bool:
+        system = state["system"]
+        idle = not system.in_flight and all(
+            node.read == len(system.log) for node in system.nodes
         )
         busy = any(
             attempt.state
             in (ClaimAttemptState.PENDING, ClaimAttemptState.RUNNING)
-            for node in world.nodes
+            for node in system.nodes
             for _, attempt in node.attempts
         )
-        ran = any(item.ran for item in world.sendings)
-        if not quiet or busy or ran:
+        ran = any(item.ran for item in system.sendings)
+        if not idle or busy or ran:
             return True
-        return model.replayed(world.log)[0] is None
+        return model.replayed(system.log)[0] is None
 
     return holds
 
@@ -410,13 +426,13 @@
     protocol = Protocol(
         name="claims",
         candidate=False,
-        fields=("world",),
-        initial=(rules.world,),
+        fields=("system",),
+        initial=(rules.system,),
         transitions=model.transitions,
         invariants={
-            "runs_at_most_once": model.watched(runs_at_most_once),
-            "not_run_is_true": model.watched(not_run_is_true(rules)),
-            "key_comes_free": model.watched(key_comes_free(model)),
+            "runs_at_most_once": model.ending_search(runs_at_most_once),
+            "not_run_is_true": model.ending_search(not_run_is_true(rules)),
+            "key_becomes_free": model.ending_search(key_becomes_free(model)),
         },
     )
     found: dict[str, Any] = check_safety(protocol, max_states=MAX_STATES)
@@ -438,8 +454,8 @@
         return events
 
 
-class AnybodyReleases(ClaimTable):
-    """Mutation: a release frees the key whoever holds it."""
+class AnyWriterReleases(ClaimTable):
+    """Mutation: a release by any writer frees the key."""
 
     def _release(self, writer: str, release: ClaimRelease) -> list[ClaimEvent]:
         self.claims.pop(release.key, None)
@@ -449,31 +465,31 @@
 def abandoned_runs(
     attempt: ClaimAttempt, won: bool, now_ms: int
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
-    """Mutation: a claim that was given up runs when it shows up."""
+    """Mutation: an abandoned claim runs when the node reads it."""
     if attempt.state is ClaimAttemptState.ABANDONED:
         attempt = attrs.evolve(attempt, state=ClaimAttemptState.PENDING)
     return on_claim_seen(attempt, won, now_ms)
 
 
-def abandoned_stays(
+def abandoned_is_kept(
     attempt: ClaimAttempt, won: bool, now_ms: int
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
-    """Mutation: a claim that was given up is not released."""
+    """Mutation: an abandoned claim is not released."""
     seen, step = on_claim_seen(attempt, won, now_ms)
     if attempt.state is ClaimAttemptState.ABANDONED:
         step = ClaimAttemptStep.NOTHING
     return seen, step
 
 
-def lost_runs(
+def losing_claim_runs(
     attempt: ClaimAttempt, won: bool, now_ms: int
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
-    """Mutation: the claim runs whether it holds the key or not."""
+    """Mutation: a claim runs even if it does not hold the key."""
     return on_claim_seen(attempt, True, now_ms)
 
 
-def running_gives_up(attempt: ClaimAttempt) -> ClaimAttempt:
-    """Mutation: a request that may be at a target is called not run."""
+def running_is_abandoned(attempt: ClaimAttempt) -> ClaimAttempt:
+    """Mutation: a request that may be at a target is reported as not run."""
     if attempt.state is ClaimAttemptState.RUNNING:
         return attrs.evolve(attempt, deadline_ms=2 * DEADLINE_MS)
     return abandon(attempt)
@@ -482,12 +498,12 @@
 def unknown_releases(
     attempt: ClaimAttempt, run_state: RunState
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
-    """Mutation: a request whose answer was lost frees its key."""
+    """Mutation: a request whose response was lost frees its key."""
     ended, _ = on_run_ended(attempt, run_state)
     return ended, ClaimAttemptStep.RELEASE
 
 
-def not_run_stays(
+def not_run_is_kept(
     attempt: ClaimAttempt, run_state: RunState
 ) -> tuple[ClaimAttempt, ClaimAttemptStep]:
     """Mutation: a request that did not run keeps its key."""
@@ -495,8 +511,8 @@
     return ended, ClaimAttemptStep.COMPLETE
 
 
-def second_counts(first: RunState, second: RunState) -> RunState:
-    """Mutation: the second node's answer stands for both."""
+def second_result_counts(first: RunState, second: RunState) -> RunState:
+    """Mutation: the second node's result counts for both nodes."""
     return second
 
 
@@ -521,48 +537,58 @@
     ("rules", "broken"),
     [
         pytest.param(
-            Rules(reads_back=False), "runs_at_most_once", id="no-read-back"
+            Rules(awaits_claim=False), "runs_at_most_once", id="no-read-back"
         ),
         pytest.param(
-            Rules(seen=lost_runs), "runs_at_most_once", id="losers-run"
+            Rules(on_seen=losing_claim_runs),
+            "runs_at_most_once",
+            id="losers-run",
         ),
         pytest.param(
             Rules(table=LastClaimWins), "runs_at_most_once", id="last-wins"
         ),
         pytest.param(
-            Rules.repeating(AnybodyReleases),
+            Rules.repeating(AnyWriterReleases),
             "runs_at_most_once",
-            id="anybody-releases",
+            id="any-writer-releases",
         ),
         pytest.param(
-            Rules(ended=unknown_releases),
+            Rules(on_ended=unknown_releases),
             "runs_at_most_once",
             id="unknown-releases",
         ),
         pytest.param(
-            Rules(seen=abandoned_runs), "not_run_is_true", id="abandoned-runs"
+            Rules(on_seen=abandoned_runs),
+            "not_run_is_true",
+            id="abandoned-runs",
         ),
         pytest.param(
-            Rules(give_up=running_gives_up),
+            Rules(on_abandon=running_is_abandoned),
             "not_run_is_true",
-            id="running-gives-up",
+            id="running-is-abandoned",
         ),
         pytest.param(
-            Rules(combine=second_counts), "not_run_is_true", id="second-counts"
+            Rules(combine=second_result_counts),
+            "not_run_is_true",
+            id="second-counts",
         ),
         pytest.param(
-            Rules(seen=abandoned_stays), "key_comes_free", id="no-release"
+            Rules(on_seen=abandoned_is_kept),
+            "key_becomes_free",
+            id="no-release",
         ),
         pytest.param(
-            Rules(ended=not_run_stays), "key_comes_free", id="not-run-stays"
+            Rules(on_ended=not_run_is_kept),
+            "key_becomes_free",
+            id="not-run-stays",
         ),
         pytest.param(
-            Rules(appends_again=True), "key_comes_free", id="appends-again"
+            Rules(repeats_claims=True), "key_becomes_free", id="appends-again"
         ),
     ],
 )
-def test_each_guard_is_needed(rules: Rules, broken: str) -> None:
-    """One rule is taken away; the search finds how it goes wrong."""
+def test_each_rule_is_needed(rules: Rules, broken: str) -> None:
+    """Without one of the rules, the search finds a violated invariant."""
     found = check(rules)["properties"][broken]
     assert found["holds"] is False
     assert len(found["counterexample"]) > 2
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_window_model.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_window_model.py
@@ -1,10 +1,10 @@
-"""Model of the window: time passes, the log trims, readers begin late.
+"""Model of the window of a key with trimming and readers that start late.
 
-Two nodes claim one key. The first has read the stream from its beginning and
-also appends for other keys; the second may begin again at the oldest record
-that the log still keeps, whenever it likes. The log may trim a record of any
-age, so also one whose key must still be remembered. Both may lag. Every claim
-that a node sees win is run, unless the node began again since it made it.
+Two nodes claim one key. The first node has read the stream from its beginning
+and also appends for other keys. The second node may restart at any time at the
+oldest record in the log. The log may trim a record of any age, also a record
+whose key is still inside its window. Both nodes may lag. A node runs each of
+its claims that wins, unless the node restarted after it made the claim.
 """
 
 import functools
@@ -22,23 +22,23 @@
 WINDOW_MS = 2
 LAST_MS = 3
 MAX_RECORDS = 3
-# minicheck calls a search that meets this bound unfinished, and the test
-# fails.
+# Bound of the search. minicheck reports a search that meets the bound as
+# unfinished, and the test then fails.
 MAX_STATES = 200_000
 
 
 @attrs.frozen(cache_hash=True)
 class Reader:
-    """A node: the first record it has read and how far it has come.
+    """A node that reads the stream.
 
     Attributes:
-        begin: Offset at which it began to read.
-        read: Offset that it reads next.
-        claims: Claims that it has appended.
-        caught_up: Whether it reached the end since it began; before that it
-            appends nothing, afterwards it may lag.
-        began_ms: When it began.
-        abandoned: Its claims up to this number were given up.
+        begin: Offset at which the node started to read.
+        read: Offset that the node reads next.
+        claims: Number of claims that the node has appended.
+        caught_up: Whether the node has reached the end of the stream since it
+            started. The node appends nothing before, and may lag afterwards.
+        began_ms: When the node started to read.
+        abandoned: The node abandoned its claims up to this number.
     """
 
     begin: int = 0
@@ -50,15 +50,15 @@
 
 
 @attrs.frozen(cache_hash=True)
-class World:
-    """Everything there is.
+class SystemState:
+    """State of the whole model.
 
     Attributes:
-        now_ms: The time; the nodes' clocks agree.
-        first: Oldest offset that the log keeps.
+        now_ms: The time; all nodes have the same clock.
+        first: Oldest offset in the log.
         log: All records ever appended, by their number in the model.
         readers: The nodes.
-        runs: Offsets of the records whose claims were won and run.
+        runs: Offsets of the records whose claims won and ran.
     """
 
     now_ms: int = 1
@@ -67,21 +67,21 @@
     readers: tuple[Reader, ...] = (Reader(), Reader())
     runs: tuple[int, ...] = ()
 
-    def reader(self, index: int, reader: Reader) -> "World":
+    def reader(self, index: int, reader: Reader) -> "SystemState":
         readers = list(self.readers)
         readers[index] = reader
         return attrs.evolve(self, readers=tuple(readers))
 
 
-class ForgetsTrimming(ClaimTable):
-    """Mutation: a reader that begins late takes every key for new."""
+class IgnoresTrimming(ClaimTable):
+    """Mutation: every key is new to a reader that starts after trimming."""
 
     def window_wait_ms(self, now_ms: int) -> int:
         return 0
 
 
-class ForgetsEarly(ClaimTable):
-    """Mutation: a key is forgotten before its window has passed."""
+class EvictsEarly(ClaimTable):
+    """Mutation: a key is evicted before its window has passed."""
 
     def _evict_expired(self) -> None:
         for key, claim in list(self.claims.items()):
@@ -89,8 +89,8 @@
                 del self.claims[key]
 
 
-class TrustsLaggards(ClaimTable):
-    """Mutation: the first record's writer is taken to have read all."""
+class TrustsLaggingWriters(ClaimTable):
+    """Mutation: the first record's writer counts as having read all."""
 
     def apply(self, offset: int, batch: ClaimBatch) -> list[ClaimEvent]:
         return super().apply(offset, attrs.evolve(batch, seen_offset=offset))
@@ -116,9 +116,9 @@
         return reader.claims
 
     def replay(
-        self, world: World, reader: Reader
+        self, system: SystemState, reader: Reader
     ) -> tuple[ClaimTable, list[Any]]:
-        numbers = world.log[reader.begin : reader.read]
+        numbers = system.log[reader.begin : reader.read]
         return self.replayed(reader.begin, reader.began_ms, numbers)
 
     def _replay(
@@ -131,55 +131,58 @@
             events = table.apply(table.next_offset, self.by_number[number])
         return table, events
 
-    def transitions(self, state: tuple[World]) -> list[tuple[str, Any]]:
-        # One counterexample is enough: nothing is searched after it.
+    def transitions(self, state: tuple[SystemState]) -> list[tuple[str, Any]]:
+        # One counterexample suffices, so the search ends after it.
         if self.broken:
             return []
-        world = state[0]
+        system = state[0]
         steps = []
-        if world.now_ms < LAST_MS:
-            later = attrs.evolve(world, now_ms=world.now_ms + 1)
+        if system.now_ms < LAST_MS:
+            later = attrs.evolve(system, now_ms=system.now_ms + 1)
             steps.append(("time passes", later))
-        if world.first < len(world.log):
-            trimmed = attrs.evolve(world, first=world.first + 1)
-            # A stream trimmed to nothing tells no reader that it was.
-            if trimmed.first < len(world.log):
+        if system.first < len(system.log):
+            trimmed = attrs.evolve(system, first=system.first + 1)
+            # The log keeps one record, because a reader cannot detect that a
+            # stream was trimmed if no record is left.
+            if trimmed.first < len(system.log):
                 steps.append(("the log trims", trimmed))
-        for index, reader in enumerate(world.readers):
-            steps += self.reader_steps(world, index, reader)
+        for index, reader in enumerate(system.readers):
+            steps += self.reader_steps(system, index, reader)
         return [(label, (after,)) for label, after in steps]
 
     def reader_steps(
-        self, world: World, index: int, reader: Reader
-    ) -> list[tuple[str, World]]:
+        self, system: SystemState, index: int, reader: Reader
+    ) -> list[tuple[str, SystemState]]:
         steps = []
-        fresh = Reader(
-            begin=world.first,
-            read=world.first,
+        restarted = Reader(
+            begin=system.first,
+            read=system.first,
             claims=reader.claims,
             caught_up=False,
-            began_ms=world.now_ms,
+            began_ms=system.now_ms,
             abandoned=self.abandoned(reader),
         )
-        if index and reader.begin < world.first:
-            again = world.reader(index, fresh)
-            steps.append((f"{index} begins at {world.first}", again))
-        if world.first <= reader.read < len(world.log):
-            steps.append((f"{index} reads", self.read(world, index, reader)))
-        room = len(world.log) < MAX_RECORDS
-        if reader.caught_up and room:
-            claimed = self.claim(world, index, reader)
-            if claimed is not None:
-                steps.append((f"{index} claims", claimed))
+        if index and reader.begin < system.first:
+            after_restart = system.reader(index, restarted)
+            steps.append((f"{index} restarts at {system.first}", after_restart))
+        if system.first <= reader.read < len(system.log):
+            steps.append((f"{index} reads", self.read(system, index, reader)))
+        log_has_capacity = len(system.log) < MAX_RECORDS
+        if reader.caught_up and log_has_capacity:
+            after_claim = self.claim(system, index, reader)
+            if after_claim is not None:
+                steps.append((f"{index} claims", after_claim))
             if not index:
-                other = self.append(world, index, reader)
-                steps.append((f"{index} appends for another key", other))
+                after_append = self.append(system, index, reader)
+                steps.append((f"{index} appends for another key", after_append))
         return steps
 
-    def read(self, world: World, index: int, reader: Reader) -> World:
-        caught_up = reader.caught_up or reader.read + 1 == len(world.log)
+    def read(
+        self, system: SystemState, index: int, reader: Reader
+    ) -> SystemState:
+        caught_up = reader.caught_up or reader.read + 1 == len(system.log)
         moved = attrs.evolve(reader, read=reader.read + 1, caught_up=caught_up)
-        _, events = self.replay(world, moved)
+        _, events = self.replay(system, moved)
         won = any(
             isinstance(event, ClaimSeen)
             and event.won
@@ -187,40 +190,47 @@
             and event.claim_id.number > reader.abandoned
             for event in events
         )
-        # A claim runs once; a later reading of it finds no attempt.
-        runs = world.runs
+        # A claim runs once; if the node reads the claim again, no attempt is
+        # pending.
+        runs = system.runs
         if won and reader.read not in runs:
             runs = (*runs, reader.read)
-        return attrs.evolve(world.reader(index, moved), runs=runs)
-
-    def claim(self, world: World, index: int, reader: Reader) -> World | None:
-        table, _ = self.replay(world, reader)
-        free = table.find(KEY, world.now_ms) is None
-        if not free or table.window_wait_ms(world.now_ms):
+        return attrs.evolve(system.reader(index, moved), runs=runs)
+
+    def claim(
+        self, system: SystemState, index: int, reader: Reader
+    ) -> SystemState | None:
+        table, _ = self.replay(system, reader)
+        is_free = table.find(KEY, system.now_ms) is None
+        if not is_free or table.window_wait_ms(system.now_ms):
             return None
         number = reader.claims + 1
         entry = ClaimEntry(key=KEY, number=number)
-        after = self.append(world, index, reader, entry)
+        after = self.append(system, index, reader, entry)
         return after.reader(index, attrs.evolve(reader, claims=number))
 
     def append(
-        self, world: World, index: int, reader: Reader, *entries: ClaimEntry
-    ) -> World:
-        table, _ = self.replay(world, reader)
+        self,
+        system: SystemState,
+        index: int,
+        reader: Reader,
+        *entries: ClaimEntry,
+    ) -> SystemState:
+        table, _ = self.replay(system, reader)
         batch = ClaimBatch(
             writer=str(index),
-            at_ms=max(world.now_ms, table.stream_time_ms),
+            at_ms=max(system.now_ms, table.stream_time_ms),
             previous_at_ms=table.stream_time_ms,
             seen_offset=table.next_offset,
             window_ms=WINDOW_MS,
             claims=entries,
         )
-        return attrs.evolve(world, log=(*world.log, self.number(batch)))
+        return attrs.evolve(system, log=(*system.log, self.number(batch)))
 
-    def runs_are_a_window_apart(self, state: dict[str, World]) -> bool:
-        world = state["world"]
+    def runs_are_a_window_apart(self, state: dict[str, SystemState]) -> bool:
+        system = state["system"]
         times = sorted(
-            self.by_number[world.log[offset]].at_ms for offset in world.runs
+            self.by_number[system.log[offset]].at_ms for offset in system.runs
         )
         found = all(
             later - earlier >= WINDOW_MS
@@ -231,7 +241,7 @@
 
 
 class RunsAfterRestart(WindowModel):
-    """Mutation: a claim that is pending at a restart may still run."""
+    """Mutation: a claim that was pending at a restart may still run."""
 
     def abandoned(self, reader: Reader) -> int:
         return 0
@@ -241,8 +251,8 @@
     protocol = Protocol(
         name="window",
         candidate=False,
-        fields=("world",),
-        initial=(World(),),
+        fields=("system",),
+        initial=(SystemState(),),
         transitions=model.transitions,
         invariants={"runs_are_a_window_apart": model.runs_are_a_window_apart},
     )
@@ -261,13 +271,15 @@
 @pytest.mark.parametrize(
     "model",
     [
-        pytest.param(WindowModel(ForgetsTrimming), id="forgets-trimming"),
-        pytest.param(WindowModel(ForgetsEarly), id="forgets-early"),
-        pytest.param(WindowModel(TrustsLaggards), id="trusts-laggards"),
+        pytest.param(WindowModel(IgnoresTrimming), id="ignores-trimming"),
+        pytest.param(WindowModel(EvictsEarly), id="evicts-early"),
+        pytest.param(
+            WindowModel(TrustsLaggingWriters), id="trusts-lagging-writers"
+        ),
         pytest.param(RunsAfterRestart(ClaimTable), id="runs-after-restart"),
     ],
 )
-def test_each_guard_of_the_window_is_needed(model: WindowModel) -> None:
-    """One rule is taken away; the search finds two runs in one window."""
+def test_each_rule_of_the_window_is_needed(model: WindowModel) -> None:
+    """Without one of the rules, the search finds two runs in one window."""
     result = check(model)["properties"]["runs_are_a_window_apart"]
     assert result["holds"] is False
