--- a/packages/pomelobank-core/src/pomelobank_core/_swim.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim.py
@@ -148,7 +148,8 @@
         """Runs the time-outs, probes and comparisons that are due.
 
         Args:
-            now_ms: Current time, at or before the time of `due_ms`.
+            now_ms: Current time. The caller calls at the time of `due_ms` or
+                earlier.
 
         Returns:
             The frames to send.
--- a/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
@@ -1,4 +1,7 @@
-"""Entries and targets on the heap of events: placing, admission, retries."""
+"""Simulates entries and targets on an event queue.
+
+The simulation covers load balancing, admission and retries.
+"""
 
 import random
 
@@ -47,7 +50,7 @@
 
 @attrs.define(eq=False)
 class FleetTarget:
-    """A target behind its own admission; it may be slow or dead."""
+    """A target with its own admission; the target may be slow or dead."""
 
     entry: MemberEntry
     admission: Admission
@@ -60,7 +63,7 @@
 
 @attrs.define(eq=False)
 class Visit:
-    """One try of a call at a target."""
+    """One attempt of a call at a target."""
 
     call: Call
     entry: "FleetEntry"
@@ -68,13 +71,13 @@
     tried: set[str]
     sent_ms: float
     ticket: AdmissionRequest | None = None
-    over: bool = False
+    ended: bool = False
     retry_after_ms: int = 0
 
 
 @attrs.define(eq=False)
 class FleetEntry:
-    """A node that callers enter by."""
+    """A node that receives requests from callers."""
 
     index: CandidateIndex
     load_balancer: LoadBalancer
@@ -82,7 +85,7 @@
 
 
 class Fleet:
-    """Some entries, some targets and every call's outcome."""
+    """Entries, targets and the outcome of every call."""
 
     def __init__(
         self,
@@ -99,19 +102,19 @@
         self.retrying = retrying
         self.aim_ms = aim_ms
         self.attempts = 0
-        self.targets = {item.node: _target(item) for item in members}
+        self.targets = {item.node: _new_target(item) for item in members}
         self.entries = []
         for number in range(entries):
             own = member(f"entry-{number}", data_centre, upstream="")
             table = MemberTable(own)
             table.merge(members)
-            placing: LoadBalancer = RoundRobin()
+            load_balancer: LoadBalancer = RoundRobin()
             if not round_robin:
-                placing = TwoChoices(random.Random(number))
+                load_balancer = TwoChoices(random.Random(number))
             self.entries.append(
                 FleetEntry(
                     CandidateIndex(table),
-                    placing,
+                    load_balancer,
                     RetryPolicy(random.Random(number)),
                 )
             )
@@ -135,7 +138,7 @@
             (entry,) = rng.choices(self.entries, weights)
             self.calls.append(call)
             self.events.schedule(
-                at_ms, lambda c=call, e=entry: self._first(c, e)
+                at_ms, lambda c=call, e=entry: self._start_call(c, e)
             )
 
     def merge(self, *entries: MemberEntry) -> None:
@@ -143,32 +146,34 @@
             entry.index.table.merge(entries)
 
     def kill(self, name: str) -> None:
-        """The target's instance dies with all that runs there."""
+        """Ends the target's instance and all calls that are present there."""
         target = self.targets[name]
         target.dead = True
         for visit in list(target.present):
-            self._leave(visit, ErrorKind.PEER_LOST)
-        target.admission = _target(target.entry).admission
+            self._end_visit(visit, ErrorKind.PEER_LOST)
+        target.admission = _new_target(target.entry).admission
         target.waiting.clear()
 
     def outcomes(self, from_ms: float = 0, until_ms: float = 1e9):
-        found: dict[str, list[float]] = {}
+        times_by_outcome: dict[str, list[float]] = {}
         for call in self.calls:
             if from_ms <= call.at_ms < until_ms:
-                found.setdefault(call.outcome, []).append(call.took_ms)
-        return found
+                times_by_outcome.setdefault(call.outcome, []).append(
+                    call.took_ms
+                )
+        return times_by_outcome
 
-    def _first(self, call: Call, entry: FleetEntry) -> None:
+    def _start_call(self, call: Call, entry: FleetEntry) -> None:
         entry.retries.on_first_attempt(UPSTREAM, self.events.now_ms)
-        self._try(call, entry, set())
+        self._attempt(call, entry, set())
 
-    def _try(self, call: Call, entry: FleetEntry, tried: set[str]) -> None:
+    def _attempt(self, call: Call, entry: FleetEntry, tried: set[str]) -> None:
         now_ms = self.events.now_ms
         candidates = entry.index.of(UPSTREAM)
-        away_ms = entry.load_balancer.all_full_retry_after_ms(
+        retry_after_ms = entry.load_balancer.all_full_retry_after_ms(
             candidates, TRAFFIC_CLASS, now_ms
         )
-        if away_ms and not tried:
+        if retry_after_ms and not tried:
             self._end(call, ErrorKind.OVERLOADED.value)
             return
         chosen = entry.load_balancer.pick(
@@ -186,10 +191,10 @@
         self.events.schedule(now_ms + HOP_MS, lambda: self._arrive(visit))
 
     def _arrive(self, visit: Visit) -> None:
-        if visit.over:
+        if visit.ended:
             return
         if visit.target.dead:
-            self._leave(visit, ErrorKind.PEER_UNREACHABLE)
+            self._end_visit(visit, ErrorKind.PEER_UNREACHABLE)
             return
         now_ms = self.events.now_ms
         call = visit.call
@@ -199,18 +204,19 @@
         verdict = visit.target.admission.offer(visit.ticket, now_ms)
         if isinstance(verdict, Rejected):
             visit.retry_after_ms = verdict.retry_after_ms
-            self._leave(visit, verdict.kind)
+            self._end_visit(visit, verdict.kind)
         elif isinstance(verdict, Started):
             self._run(visit)
         else:
             visit.target.waiting[visit.ticket] = visit
             self.events.schedule(
-                visit.ticket.deadline_ms, lambda: self._look(visit.target)
+                visit.ticket.deadline_ms,
+                lambda: self._start_waiting(visit.target),
             )
 
-    def _look(self, target: FleetTarget) -> None:
+    def _start_waiting(self, target: FleetTarget) -> None:
         change = target.admission.start_waiting(self.events.now_ms)
-        self._carry_out(target, change)
+        self._apply_change(target, change)
 
     def _run(self, visit: Visit) -> None:
         visit.target.runs += 1
@@ -218,40 +224,44 @@
         self.runs[key] = self.runs.get(key, 0) + 1
         work_ms = visit.call.work_ms * visit.target.slow_factor
         end_ms = self.events.now_ms + work_ms
-        self.events.schedule(end_ms, lambda: self._ran(visit))
+        self.events.schedule(end_ms, lambda: self._on_run_ended(visit))
 
-    def _ran(self, visit: Visit) -> None:
-        if visit.over:
+    def _on_run_ended(self, visit: Visit) -> None:
+        if visit.ended:
             return
         assert visit.ticket is not None
         now_ms = self.events.now_ms
         change = visit.target.admission.finish(
             visit.ticket, WorkResult.RESPONDED, now_ms
         )
-        late = now_ms > visit.ticket.deadline_ms
-        self._leave(visit, ErrorKind.DEADLINE_UNKNOWN if late else None)
-        self._carry_out(visit.target, change)
+        past_deadline = now_ms > visit.ticket.deadline_ms
+        self._end_visit(
+            visit, ErrorKind.DEADLINE_UNKNOWN if past_deadline else None
+        )
+        self._apply_change(visit.target, change)
 
-    def _carry_out(self, target: FleetTarget, change: QueueChange) -> None:
+    def _apply_change(self, target: FleetTarget, change: QueueChange) -> None:
         for ticket in change.started:
             self._run(target.waiting.pop(ticket))
         for ticket in change.expired:
-            self._leave(target.waiting.pop(ticket), ErrorKind.DEADLINE_NOT_RUN)
+            self._end_visit(
+                target.waiting.pop(ticket), ErrorKind.DEADLINE_NOT_RUN
+            )
 
-    def _leave(self, visit: Visit, error: ErrorKind | None) -> None:
-        visit.over = True
+    def _end_visit(self, visit: Visit, error: ErrorKind | None) -> None:
+        visit.ended = True
         visit.target.present.remove(visit)
         self.events.schedule(
-            self.events.now_ms + HOP_MS, lambda: self._back(visit, error)
+            self.events.now_ms + HOP_MS, lambda: self._on_returned(visit, error)
         )
 
-    def _back(self, visit: Visit, error: ErrorKind | None) -> None:
+    def _on_returned(self, visit: Visit, error: ErrorKind | None) -> None:
         now_ms = self.events.now_ms
         result = TargetResult.RESPONDED
         if error is not None:
             result = target_result(error, visit.call.timeout_ms)
         admission = visit.target.admission
-        seen = RequestOutcome(
+        outcome = RequestOutcome(
             result,
             TRAFFIC_CLASS,
             now_ms - visit.sent_ms,
@@ -263,16 +273,16 @@
         entry = visit.entry
         candidates = entry.index.of(UPSTREAM)
         chosen = visit.target.entry
-        entry.load_balancer.on_ended(chosen, candidates, seen, now_ms)
+        entry.load_balancer.on_ended(chosen, candidates, outcome, now_ms)
         if error is None:
             self._end(visit.call, "answered")
             return
-        self._again(visit, error)
+        self._retry(visit, error)
 
-    def _again(self, visit: Visit, error: ErrorKind) -> None:
+    def _retry(self, visit: Visit, error: ErrorKind) -> None:
         now_ms = self.events.now_ms
         entry = visit.entry
-        other = entry.load_balancer.pick(
+        alternative = entry.load_balancer.pick(
             entry.index.of(UPSTREAM), visit.tried, TRAFFIC_CLASS, now_ms
         )
         attempt = FailedAttempt(
@@ -281,8 +291,10 @@
             attempts=len(visit.tried),
             transparent_retries=0,
             remaining_ms=visit.call.at_ms + visit.call.timeout_ms - now_ms,
-            other_has_capacity=other is not None
-            and entry.load_balancer.has_capacity(other, TRAFFIC_CLASS, now_ms),
+            other_has_capacity=alternative is not None
+            and entry.load_balancer.has_capacity(
+                alternative, TRAFFIC_CLASS, now_ms
+            ),
         )
         retry = entry.retries.decide(UPSTREAM, attempt, now_ms)
         if retry is None or not self.retrying:
@@ -290,7 +302,7 @@
             return
         self.events.schedule(
             now_ms + retry.delay_ms,
-            lambda: self._try(visit.call, entry, visit.tried),
+            lambda: self._attempt(visit.call, entry, visit.tried),
         )
 
     def _end(self, call: Call, outcome: str) -> None:
@@ -298,7 +310,7 @@
         call.ended_ms = self.events.now_ms
 
 
-def _target(entry: MemberEntry) -> FleetTarget:
+def _new_target(entry: MemberEntry) -> FleetTarget:
     limit = ConcurrencyLimit(entry.slots, entry.slots, cold=False)
     policy = POLICIES["guaranteed_shared"]
     return FleetTarget(
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_bootstrap_contacts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_bootstrap_contacts.py
@@ -1,4 +1,4 @@
-"""Finding a first member."""
+"""Tests of the contacts of a starting node."""
 
 import random
 
@@ -25,7 +25,7 @@
 OWN = "127.0.0.1:1"
 
 
-def finder() -> BootstrapContacts:
+def new_contacts() -> BootstrapContacts:
     return BootstrapContacts(random.Random(1))
 
 
@@ -52,12 +52,12 @@
 
 
 def test_records_of_both_kinds_name_contacts() -> None:
-    contact = finder()
+    known_contacts = new_contacts()
     single = AnnounceRecord(node="a", peer_address=address(9), at_ms=1)
-    contact.add_records([encode(single), contacts(2)])
-    assert set(contact.attempts) == {address(9), address(0), address(1)}
-    assert contact.newest_addresses == {address(0), address(1)}
-    assert contact.skipped_records == 0
+    known_contacts.add_records([encode(single), contacts(2)])
+    assert set(known_contacts.attempts) == {address(9), address(0), address(1)}
+    assert known_contacts.newest_addresses == {address(0), address(1)}
+    assert known_contacts.skipped_records == 0
 
 
 @pytest.mark.parametrize(
@@ -70,39 +70,39 @@
         pytest.param(b"\x92\x0b\x01", id="wrong-type"),
     ],
 )
-def test_unreadable_records_are_passed_over(record: bytes) -> None:
-    """A newer version, or a stray writer, appends what this one cannot read.
+def test_unreadable_records_are_skipped(record: bytes) -> None:
+    """A newer version or a faulty writer appends an unreadable record.
 
-    A starting node that stopped there would never join the mesh.
+    A starting node that stopped at the record would never join the mesh.
     """
-    contact = finder()
-    contact.add_records([record, contacts(1)])
-    assert contact.skipped_records == 1
-    assert set(contact.attempts) == {address(0)}
+    known_contacts = new_contacts()
+    known_contacts.add_records([record, contacts(1)])
+    assert known_contacts.skipped_records == 1
+    assert set(known_contacts.attempts) == {address(0)}
 
 
 @given(st.lists(st.binary(max_size=64), max_size=8))
-def test_any_bytes_are_passed_over(records: list[bytes]) -> None:
-    contact = finder()
-    contact.add_records(records)
-    assert contact.skipped_records <= len(records)
+def test_any_bytes_are_skipped(records: list[bytes]) -> None:
+    known_contacts = new_contacts()
+    known_contacts.add_records(records)
+    assert known_contacts.skipped_records <= len(records)
 
 
-def test_every_address_gets_its_turn() -> None:
-    contact = finder()
-    contact.add([OWN, *(address(index) for index in range(7))])
-    tried = set()
-    while contact.has_unattempted(OWN):
-        tried.update(contact.next_addresses(OWN))
-    assert tried == {address(index) for index in range(7)}
+def test_every_address_is_attempted() -> None:
+    known_contacts = new_contacts()
+    known_contacts.add([OWN, *(address(index) for index in range(7))])
+    attempted = set()
+    while known_contacts.has_unattempted(OWN):
+        attempted.update(known_contacts.next_addresses(OWN))
+    assert attempted == {address(index) for index in range(7)}
 
 
-def test_few_of_a_herd_announce_themselves() -> None:
+def test_few_of_many_starting_nodes_announce_themselves() -> None:
     """A thousand nodes start in the same second on an empty log.
 
-    Each would append a record; the log takes several hundred a second and is
-    shared with the configuration, which would wait behind them. Those whose
-    wait ends before the first record can be read are the ones that append.
+    If each node appended a record, the configuration's appends would wait
+    behind them, because the log takes only several hundred appends a second.
+    A node appends only if its wait ends before it can read the first record.
     """
     read_ms = 20
     waits = sorted(
@@ -113,16 +113,20 @@
     assert sum(wait <= readable_ms for wait in waits) <= 60
 
 
-def test_a_slow_log_stretches_the_wait() -> None:
-    waits = [finder().announce_wait_ms(read_ms) for read_ms in (1, 100, 10**6)]
+def test_a_slow_log_lengthens_the_wait() -> None:
+    waits = [
+        new_contacts().announce_wait_ms(read_ms) for read_ms in (1, 100, 10**6)
+    ]
     assert waits == sorted(waits)
     assert waits[-1] <= 30_000
 
 
-def test_one_member_looks_after_the_contacts() -> None:
+def test_one_member_maintains_the_contacts() -> None:
     count = 20
-    acting = [maintains_contacts(table(index, count)) for index in range(count)]
-    assert acting.count(True) == 1
+    maintaining = [
+        maintains_contacts(table(index, count)) for index in range(count)
+    ]
+    assert maintaining.count(True) == 1
 
 
 @pytest.mark.parametrize(
@@ -132,35 +136,36 @@
         pytest.param(3, 3, 300_000, True, id="old"),
         pytest.param(1, 3, 0, True, id="names-too-few"),
         pytest.param(16, 1000, 0, False, id="names-enough"),
-        pytest.param(6, 2, 0, False, id="survivors-are-named"),
+        pytest.param(6, 2, 0, False, id="remaining-members-are-named"),
     ],
 )
 def test_needs_refresh(
     named: int, present: int, age_ms: int, expected: bool
 ) -> None:
-    contact = finder()
-    contact.add_records([contacts(named)])
+    known_contacts = new_contacts()
+    known_contacts.add_records([contacts(named)])
     addresses = {address(index) for index in range(present)}
-    assert contact.needs_refresh(addresses, NOW_MS + age_ms) is expected
+    assert known_contacts.needs_refresh(addresses, NOW_MS + age_ms) is expected
 
 
 def test_a_record_without_the_present_members_is_replaced() -> None:
-    contact = finder()
-    contact.add_records([contacts(4)])
+    known_contacts = new_contacts()
+    known_contacts.add_records([contacts(4)])
     addresses = {address(index) for index in range(3, 7)}
-    assert contact.needs_refresh(addresses, NOW_MS)
+    assert known_contacts.needs_refresh(addresses, NOW_MS)
 
 
-def test_strangers_are_tried_less_and_less() -> None:
-    contact = finder()
-    contact.add([address(0), address(1)])
-    tries = [
-        len(contact.next_unknown_addresses({address(1)})) for _ in range(400)
+def test_unknown_addresses_are_attempted_less_and_less() -> None:
+    known_contacts = new_contacts()
+    known_contacts.add([address(0), address(1)])
+    attempts = [
+        len(known_contacts.next_unknown_addresses({address(1)}))
+        for _ in range(400)
     ]
-    assert tries[0] == 1
-    assert 5 <= sum(tries) <= 60
+    assert attempts[0] == 1
+    assert 5 <= sum(attempts) <= 60
 
 
-def test_a_record_names_at_most_sixteen() -> None:
+def test_a_record_names_at_most_sixteen_members() -> None:
     record = contacts_record(table(0, 40), random.Random(1), NOW_MS)
     assert len({item.node for item in record.contacts}) == 16
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_departures.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Which targets are taken for those that have left."""
+"""Tests of the targets that count as departed."""
 
 import attrs
 import pytest
@@ -15,31 +15,33 @@
 
 
 @pytest.mark.parametrize(
-    ("departures", "started_at_ms", "covered"),
+    ("departures", "started_at_ms", "departed"),
     [
         pytest.param([], 1000, False, id="none"),
         pytest.param([departure("b", 1000)], 1000, False, id="another target"),
         pytest.param([departure("a", 1000)], 1000, True, id="the same start"),
         pytest.param([departure("a", 1000)], 2000, False, id="a later start"),
         pytest.param([departure("a", 2000)], 1000, True, id="an earlier start"),
-        pytest.param([departure("a")], 1000, True, id="no start in the word"),
+        pytest.param(
+            [departure("a")], 1000, True, id="no start in the departure"
+        ),
         pytest.param([departure("a", 1000)], 0, True, id="no start announced"),
         pytest.param(
             [departure("a", 2000), departure("a", 1000)],
             2000,
             True,
-            id="the word of an earlier start comes last",
+            id="the departure of an earlier start comes last",
         ),
         pytest.param(
             [departure("a", 1000), departure("a", 2000)],
             2000,
             True,
-            id="left once more",
+            id="departed once more",
         ),
     ],
 )
-def test_a_target_that_has_left(
-    departures: list[DepartureRecord], started_at_ms: int, covered: bool
+def test_has_departed(
+    departures: list[DepartureRecord], started_at_ms: int, departed: bool
 ) -> None:
     known = Departures()
     for item in departures:
@@ -51,25 +53,31 @@
         instance="a",
         started_at_ms=started_at_ms,
     )
-    assert known.has_departed(target) is covered
+    assert known.has_departed(target) is departed
 
 
-def test_what_is_remembered_is_bounded() -> None:
-    """Somebody fills the log with departures of targets that never were."""
+def test_the_number_of_departures_is_bounded() -> None:
+    """A faulty writer fills the log with departures of unknown targets.
+
+    Without a bound, the departures would fill the node's memory.
+    """
     known = Departures()
     for number in range(10_000):
         known.add(departure(str(number)))
     assert len(known.latest) < 5_000
 
 
-def test_a_target_without_a_name_is_told_by_its_address() -> None:
-    """An operator drains a target that never named itself."""
+def test_a_target_without_an_instance_is_identified_by_its_address() -> None:
+    """An operator drains a target that announces no instance name.
+
+    The node can recognise such a target only by its address.
+    """
     known = Departures()
-    left = DepartureRecord(address="127.0.0.1:1")
+    leaving = DepartureRecord(address="127.0.0.1:1")
     target = TargetAnnouncement(upstream="u", address="127.0.0.1:1", slots=2)
-    known.add(left)
+    known.add(leaving)
     assert known.has_departed(target)
     assert not known.has_departed(attrs.evolve(target, address="127.0.0.1:2"))
     assert not known.has_departed(attrs.evolve(target, instance="a"))
-    known.add(attrs.evolve(left, returned=True))
+    known.add(attrs.evolve(leaving, returned=True))
     assert not known.has_departed(target)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_lately_gone.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_lately_gone.py
@@ -1,4 +1,7 @@
-"""Members look for one that went lately, in case it was only restarted."""
+"""Tests that members poll a recently gone member.
+
+The member may have been restarted and know no peer.
+"""
 
 import random
 
@@ -11,8 +14,8 @@
 
 PERIOD_MS = 500
 TICK_MS = 100
-# Tries of members that went long ago are left out.
-RARELY_MS = 600_000
+# Excludes the attempts at members that went long ago.
+REJOIN_PERIOD_MS = 600_000
 RESTARTED = "n0"
 
 
@@ -26,23 +29,23 @@
 
 
 def _members(count: int) -> list[Swim]:
-    """Returns members, all of which know that one has just gone."""
+    """Returns members that all know of one member that has just gone."""
     settings = MembershipSettings(
-        period_ms=PERIOD_MS, rejoin_period_ms=RARELY_MS
+        period_ms=PERIOD_MS, rejoin_period_ms=REJOIN_PERIOD_MS
     )
     members = []
     for number in range(1, count):
         table = MemberTable(_entry(number))
         table.merge(_entry(i) for i in range(1, count) if i != number)
         swim = Swim(table, settings, random.Random(number))
-        swim.next_rejoin_ms = RARELY_MS
+        swim.next_rejoin_ms = REJOIN_PERIOD_MS
         swim.on_gossip(Gossip(members=(_entry(0, "gone"),)), now_ms=0)
         members.append(swim)
     return members
 
 
-def _looks(members: list[Swim], from_ms: int, until_ms: int) -> list[int]:
-    """Returns when somebody asked the one that has gone."""
+def _poll_times(members: list[Swim], from_ms: int, until_ms: int) -> list[int]:
+    """Returns the times at which a member polled the gone member."""
     return [
         now_ms
         for now_ms in range(from_ms, until_ms, TICK_MS)
@@ -56,32 +59,32 @@
 
 @pytest.mark.parametrize("count", [3, 8, 60])
 def test_a_restarted_node_is_found_without_the_log(count: int) -> None:
-    """A node is restarted while the log of first contacts is away.
+    """A node is restarted while the log with the contacts is unavailable.
 
-    It knows nobody. Unless somebody asks at its old address, the target beside
-    it gets no requests until the log is back.
+    The node knows no members. Unless a member polls its old address, the
+    target beside the node gets no requests until the log is back.
     """
-    looks = _looks(_members(count), 0, 5000)
-    waits = [b - a for a, b in zip([0, *looks], looks, strict=False)]
+    polls = _poll_times(_members(count), 0, 5000)
+    waits = [b - a for a, b in zip([0, *polls], polls, strict=False)]
     assert max(waits) <= 2 * PERIOD_MS
 
 
-def test_few_members_look() -> None:
+def test_few_members_poll_a_gone_member() -> None:
     """One of 200 nodes is restarted.
 
-    With handshakes from all others every half second it would have no time to
-    start.
+    If all other nodes sent handshakes every half second, the node would have
+    no time to start.
     """
     rounds = 5000 // PERIOD_MS
     assert (
-        len(_looks(_members(200), 0, 5000))
+        len(_poll_times(_members(200), 0, 5000))
         <= 2 * POLLERS_PER_GONE_MEMBER * rounds
     )
 
 
-def test_a_member_that_does_not_come_back_is_left_alone() -> None:
+def test_polling_of_a_gone_member_ends() -> None:
     members = _members(8)
-    _looks(members, 0, RECENTLY_GONE_MS)
-    later = _looks(members, RECENTLY_GONE_MS, RECENTLY_GONE_MS + 10_000)
+    _poll_times(members, 0, RECENTLY_GONE_MS)
+    later = _poll_times(members, RECENTLY_GONE_MS, RECENTLY_GONE_MS + 10_000)
     rounds = 10_000 // PERIOD_MS
     assert len(later) < rounds
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_members.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Merging of what peers tell about members."""
+"""Tests of the merge of members' entries from peers."""
 
 import attrs
 import pytest
@@ -24,7 +24,7 @@
     state: str = READY,
     version: int = 0,
 ) -> MemberEntry:
-    """Returns an entry whose other fields follow from its numbers."""
+    """Returns an entry whose upstream follows from its numbers."""
     return MemberEntry(
         node=node,
         incarnation=incarnation,
@@ -50,10 +50,10 @@
     return MemberTable(entry(OWN))
 
 
-def merged(*parts: list[MemberEntry]) -> dict[str, MemberEntry]:
+def merged(*peers_entries: list[MemberEntry]) -> dict[str, MemberEntry]:
     table = new_table()
-    for part in parts:
-        table.merge(part)
+    for peer_entries in peers_entries:
+        table.merge(peer_entries)
     return table.others
 
 
@@ -79,25 +79,27 @@
 
 
 @given(batches)
-def test_own_entry_is_only_refuted(items: list[MemberEntry]) -> None:
+def test_peers_change_only_the_rank_of_the_own_entry(
+    items: list[MemberEntry],
+) -> None:
     table = new_table()
     table.merge(items)
-    kept = attrs.evolve(
+    without_sequence = attrs.evolve(
         table.own,
         incarnation=table.own.incarnation,
         sequence=0,
     )
-    assert kept == attrs.evolve(
+    assert without_sequence == attrs.evolve(
         new_table().own, incarnation=table.own.incarnation
     )
-    about_own = [item for item in items if item.node == OWN]
+    own_entries = [item for item in items if item.node == OWN]
     assert all(
-        EntryRank.of(item) <= EntryRank.of(table.own) for item in about_own
+        EntryRank.of(item) <= EntryRank.of(table.own) for item in own_entries
     )
 
 
 @given(batches, batches)
-def test_the_gone_are_not_resurrected(
+def test_removed_members_do_not_return_by_old_entries(
     before: list[MemberEntry], after: list[MemberEntry]
 ) -> None:
     table = new_table()
@@ -111,33 +113,35 @@
 
 
 @given(batches)
-def test_versions_never_fall_within_an_incarnation(
+def test_versions_never_decrease_within_an_incarnation(
     items: list[MemberEntry],
 ) -> None:
     table = new_table()
-    seen: dict[tuple[str, int], int] = {}
+    highest_versions: dict[tuple[str, int], int] = {}
     for item in items:
         table.merge([item])
         for known in table.others.values():
             key = known.node, known.incarnation
-            assert known.version >= seen.get(key, 0)
-            seen[key] = known.version
+            assert known.version >= highest_versions.get(key, 0)
+            highest_versions[key] = known.version
 
 
 @pytest.mark.parametrize(
-    ("state", "wanted"),
+    ("state", "new_state"),
     [
         pytest.param(DRAINING, READY, id="draining-to-ready"),
         pytest.param(DRAINING, MemberState.STARTING.value, id="to-starting"),
         pytest.param(GONE, DRAINING, id="gone-to-draining"),
     ],
 )
-def test_a_leaving_member_never_returns(state: str, wanted: str) -> None:
+def test_a_draining_member_needs_a_new_incarnation_to_return(
+    state: str, new_state: str
+) -> None:
     table = MemberTable(entry(OWN, state=state))
     with pytest.raises(ValueError, match="cannot become"):
-        table.update_own(state=wanted)
-    table.restart_own(2, state=wanted)
-    assert (table.own.incarnation, table.own.state) == (2, wanted)
+        table.update_own(state=new_state)
+    table.restart_own(2, state=new_state)
+    assert (table.own.incarnation, table.own.state) == (2, new_state)
 
 
 @pytest.mark.parametrize(
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_swim_model.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_swim_model.py
@@ -1,9 +1,9 @@
-"""Suspicion and refutation, checked over every order of events.
+"""Model of suspicion and refutation, checked over every order of events.
 
-The subject S and two watchers run core's own code. Whatever anybody ever
-claimed of S may arrive anywhere, at any time, late, twice or in another order.
-The watchers may doubt S wrongly a bounded number of times; S may drain, and
-start again once.
+The subject S and two watchers run the functions of core. Every view of S that
+one of the three ever had may arrive at each of them at any time: late, twice or
+in another order. The watchers may wrongly suspect S a bounded number of times.
+S may drain, and may restart once.
 """
 
 import functools
@@ -23,21 +23,28 @@
 DRAINING = MemberState.DRAINING.value
 GONE = MemberState.GONE.value
 SUBJECT = "s"
-DOUBTS = 2
-FIELDS = ("subject", "first", "second", "claims", "doubts", "seen_draining")
+MAX_SUSPICIONS = 2
+FIELDS = (
+    "subject",
+    "first",
+    "second",
+    "views",
+    "suspicions_left",
+    "seen_draining",
+)
 SETTINGS = MembershipSettings()
 
 
 @attrs.frozen(order=True)
-class Claim:
-    """What somebody holds of the subject."""
+class View:
+    """A member's view of the subject."""
 
     incarnation: int
     sequence: int
     state: str
 
     @classmethod
-    def of(cls, entry: MemberEntry) -> "Claim":
+    def of(cls, entry: MemberEntry) -> "View":
         return cls(entry.incarnation, entry.sequence, entry.state)
 
     def entry(self) -> MemberEntry:
@@ -49,102 +56,114 @@
         )
 
 
-State = tuple[Claim, Claim, Claim, frozenset[Claim], int, int]
+State = tuple[View, View, View, frozenset[View], int, int]
 
 
-def watcher(held: Claim) -> Swim:
+def watcher(known: View) -> Swim:
     table = MemberTable(MemberEntry(node="watcher"))
-    table.merge((held.entry(),))
+    table.merge((known.entry(),))
     swim = Swim(table, SETTINGS, random.Random(0))
-    if held.state == SUSPECT:
+    if known.state == SUSPECT:
         swim.suspicions[SUBJECT] = 0
     return swim
 
 
-def held_by(swim: Swim) -> Claim:
-    return Claim.of(swim.table.others[SUBJECT])
+def view_of(swim: Swim) -> View:
+    return View.of(swim.table.others[SUBJECT])
 
 
 @functools.cache
-def hears(held: Claim, claim: Claim) -> Claim:
-    swim = watcher(held)
-    swim.on_gossip(Gossip(members=(claim.entry(),)), 0)
-    return held_by(swim)
+def receive(known: View, received: View) -> View:
+    swim = watcher(known)
+    swim.on_gossip(Gossip(members=(received.entry(),)), 0)
+    return view_of(swim)
 
 
 @functools.cache
-def doubts(held: Claim) -> Claim:
-    swim = watcher(held)
+def suspect(known: View) -> View:
+    swim = watcher(known)
     swim.suspect(SUBJECT, 0)
-    return held_by(swim)
+    return view_of(swim)
 
 
 @functools.cache
-def times_out(held: Claim) -> Claim:
-    swim = watcher(held)
+def expire_suspicion(known: View) -> View:
+    swim = watcher(known)
     swim.suspicions[SUBJECT] = 0
     swim.tick(0)
-    return held_by(swim)
+    return view_of(swim)
 
 
 @functools.cache
-def subject_hears(subject: Claim, claim: Claim) -> Claim:
+def subject_receives(subject: View, received: View) -> View:
     table = MemberTable(subject.entry())
-    table.merge((claim.entry(),))
-    return Claim.of(table.own)
+    table.merge((received.entry(),))
+    return View.of(table.own)
 
 
 @functools.cache
-def subject_drains(subject: Claim) -> Claim:
+def subject_drains(subject: View) -> View:
     table = MemberTable(subject.entry())
     table.update_own(state=DRAINING)
-    return Claim.of(table.own)
+    return View.of(table.own)
 
 
 @functools.cache
-def subject_restarts(subject: Claim) -> Claim:
+def subject_restarts(subject: View) -> View:
     table = MemberTable(subject.entry())
     table.restart_own(0, state=READY)
-    return Claim.of(table.own)
+    return View.of(table.own)
 
 
 @pytest.fixture(autouse=True)
 def fresh_steps() -> Iterator[None]:
-    """Forgets the cached steps, which a test may have made with a mutation."""
+    """Clears the cached steps, which a test may have made with a mutation."""
     yield
-    for step in (hears, doubts, times_out, subject_hears):
+    for step in (receive, suspect, expire_suspicion, subject_receives):
         step.cache_clear()
 
 
 def successors(changes: bool, state: State) -> list[tuple[str, State]]:
-    subject, first, second, claims, left, _ = state
+    subject, first, second, views, suspicions_left, _ = state
 
     def after(**changes: object) -> State:
         values = dict(zip(FIELDS, state, strict=True)) | changes
-        told = {values["subject"], values["first"], values["second"]}
-        values["claims"] = claims | told
+        published = {values["subject"], values["first"], values["second"]}
+        values["views"] = views | published
         if values["first"].state == DRAINING:
             values["seen_draining"] = values["first"].incarnation
         return tuple(values[name] for name in FIELDS)  # type: ignore[return-value]
 
     steps = []
-    for claim in sorted(claims):
+    for received in sorted(views):
         steps += [
-            (f"S hears {claim}", after(subject=subject_hears(subject, claim))),
-            (f"first hears {claim}", after(first=hears(first, claim))),
-            (f"second hears {claim}", after(second=hears(second, claim))),
+            (
+                f"S receives {received}",
+                after(subject=subject_receives(subject, received)),
+            ),
+            (
+                f"first receives {received}",
+                after(first=receive(first, received)),
+            ),
+            (
+                f"second receives {received}",
+                after(second=receive(second, received)),
+            ),
         ]
     if changes and subject.state == READY:
         steps.append(("S drains", after(subject=subject_drains(subject))))
     if changes and subject.incarnation == 1:
         steps.append(("S restarts", after(subject=subject_restarts(subject))))
-    for name, held in (("first", first), ("second", second)):
-        if held.state == SUSPECT:
-            gone = times_out(held)
+    for name, known in (("first", first), ("second", second)):
+        if known.state == SUSPECT:
+            gone = expire_suspicion(known)
             steps.append((f"{name} times out", after(**{name: gone})))
-        elif left and held.state == READY:
-            doubt = {name: doubts(held), "doubts": left - 1}
-            steps.append((f"{name} doubts", after(**doubt)))
+        elif suspicions_left and known.state == READY:
+            suspicion = {
+                name: suspect(known),
+                "suspicions_left": suspicions_left - 1,
+            }
+            steps.append((f"{name} suspects S", after(**suspicion)))
     return steps
 
 
@@ -152,16 +171,16 @@
     """Returns the model.
 
     Args:
-        changes: Whether S may drain and start again. Either would mend a wrong
-            suspicion, so liveness is asked for without them.
+        changes: Whether S may drain and restart. Both would correct a wrong
+            suspicion, so the check of liveness excludes them.
     """
-    start = Claim(1, 0, READY)
-    held = frozenset((start,))
+    start = View(1, 0, READY)
+    known = frozenset((start,))
     return Protocol(
         name="suspicion and refutation",
         candidate=False,
         fields=FIELDS,
-        initial=(start, start, start, held, DOUBTS, 0),
+        initial=(start, start, start, known, MAX_SUSPICIONS, 0),
         transitions=functools.partial(successors, changes),
         invariants={
             "draining_is_final": lambda state: (
@@ -181,27 +200,29 @@
     assert result["exhaustive"]
 
 
-def test_a_live_member_is_not_held_gone_for_ever() -> None:
+def test_a_live_member_does_not_stay_gone() -> None:
     assert check_liveness(model(changes=False))["holds"] is True
 
 
 def test_the_model_finds_a_missing_refutation(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A paused member comes back and accepts what is said about it.
+    """A member that was paused does not refute that it is gone.
 
-    Everybody goes on holding it to be gone, and its target gets no work.
+    All other members continue to consider the member gone, so its target gets
+    no requests.
     """
     monkeypatch.setattr(MemberTable, "_refute", lambda table, entry: None)
     assert check_liveness(model(changes=False))["holds"] is False
 
 
-def test_the_model_finds_a_claim_that_is_taken_as_it_comes(
+def test_the_model_finds_an_accepted_older_entry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A late claim of a member's readiness arrives after that of its drain.
+    """A delayed ready entry of a member arrives after its draining entry.
 
-    Callers' requests would be sent to a target that is about to end.
+    If nodes accepted the older entry, they would send callers' requests to a
+    target that is about to stop.
     """
     monkeypatch.setattr(_members, "join_entries", lambda first, second: first)
     holds = check_safety(model(changes=True))["properties"][
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_target_lease.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_target_lease.py
@@ -1,4 +1,4 @@
-"""What announcements of a target mean."""
+"""Tests of the state changes caused by a target's announcements."""
 
 import attrs
 import pytest
@@ -15,7 +15,7 @@
 SILENCE = None
 
 NONE = TargetChange.NONE
-TAKEN = TargetChange.ACTIVATED
+ACTIVATED = TargetChange.ACTIVATED
 DRAINING = TargetChange.DRAINING
 RESTARTED = TargetChange.RESTARTED
 LAPSED = TargetChange.LAPSED
@@ -24,33 +24,35 @@
 @pytest.mark.parametrize(
     ("events", "expected"),
     [
-        pytest.param([PLAIN, PLAIN], [TAKEN, NONE], id="renewed"),
-        pytest.param([PLAIN, MORE_SLOTS], [TAKEN, TAKEN], id="more-slots"),
-        pytest.param([PLAIN, LEAVING], [TAKEN, DRAINING], id="leaves"),
+        pytest.param([PLAIN, PLAIN], [ACTIVATED, NONE], id="renewed"),
+        pytest.param(
+            [PLAIN, MORE_SLOTS], [ACTIVATED, ACTIVATED], id="more-slots"
+        ),
+        pytest.param([PLAIN, LEAVING], [ACTIVATED, DRAINING], id="drains"),
         pytest.param(
             [PLAIN, LEAVING, PLAIN],
-            [TAKEN, DRAINING, NONE],
-            id="goes-on-announcing-while-it-leaves",
+            [ACTIVATED, DRAINING, NONE],
+            id="continues-to-announce-while-draining",
         ),
         pytest.param(
             [PLAIN, LEAVING, LEAVING, SECOND],
-            [TAKEN, DRAINING, NONE, RESTARTED],
+            [ACTIVATED, DRAINING, NONE, RESTARTED],
             id="another-instance",
         ),
         pytest.param(
             [PLAIN, LEAVING, MOVED],
-            [TAKEN, DRAINING, RESTARTED],
+            [ACTIVATED, DRAINING, RESTARTED],
             id="another-address",
         ),
         pytest.param(
             [PLAIN, SILENCE, SILENCE, PLAIN],
-            [TAKEN, LAPSED, NONE, TAKEN],
-            id="silent-and-back",
+            [ACTIVATED, LAPSED, NONE, ACTIVATED],
+            id="silent-and-active-again",
         ),
         pytest.param(
             [PLAIN, LEAVING, SILENCE, PLAIN],
-            [TAKEN, DRAINING, NONE, RESTARTED],
-            id="left-and-started-again",
+            [ACTIVATED, DRAINING, NONE, RESTARTED],
+            id="drained-and-restarted",
         ),
         pytest.param([SILENCE], [NONE], id="never-announced"),
     ],
@@ -72,7 +74,7 @@
     assert changes == expected
 
 
-def test_a_stopping_node_takes_no_target() -> None:
+def test_a_stopping_node_accepts_no_target() -> None:
     lease = TargetLease(LEASE_MS)
     lease.on_announcement(PLAIN, 0)
     lease.close()
