--- a/packages/pomelobank-core/src/pomelobank_core/_bootstrap_contacts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_bootstrap_contacts.py
@@ -23,7 +23,7 @@
 # Records that a starting node reads at the end of the stream. Older records
 # name members that have most likely been replaced.
 TAIL_RECORDS = 64
-# Addresses that a node contacts in one round.
+# Maximum number of addresses that a node contacts in one round.
 TRIES_AT_ONCE = 3
 # Maximum age of the newest record before a new one is written. The interval is
 # well below the retention time of the log.
--- a/packages/pomelobank-core/src/pomelobank_core/_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claims.py
@@ -317,7 +317,7 @@
         return claim
 
     def window_wait_ms(self, now_ms: int) -> int:
-        """Returns how long new keys must wait until none is missing, else 0."""
+        """Returns how long new keys must wait for a complete window, or 0."""
         return max(0, self.complete_from_ms - now_ms)
 
     def capacity_wait_ms(self, now_ms: int, limit: int) -> int:
--- a/packages/pomelobank-core/src/pomelobank_core/_departures.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_departures.py
@@ -9,9 +9,9 @@
     TargetAnnouncement,
 )
 
-# Maximum number of departures in memory. A departure in the log may name any
-# target of the mesh; the limit covers the targets that the mesh replaces within
-# minutes.
+# Maximum number of departures in memory. A node needs only the departures of
+# its own target, but a departure in the log may name any target of the mesh.
+# The limit covers the targets that the mesh replaces within minutes.
 _MAX_DEPARTURES = 4096
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/_swim.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim.py
@@ -53,7 +53,8 @@
 _MS_PER_S = 1000
 # How long members poll a gone member in each probe period; most restarts take
 # less time. A member that does not return within this time was most likely
-# replaced, so members contact its address only once per rejoin period.
+# replaced, so afterwards a node contacts only one random gone member per rejoin
+# period.
 RECENTLY_GONE_MS = 15_000
 # Number of members that poll a recently gone member. With two pollers, the loss
 # of one poller does not matter; if all 1,000 members polled, a restarted node
