--- a/conftest.py
+++ b/conftest.py
@@ -1,8 +1,8 @@
-"""Settings of the whole suite, and the tests that it passes over.
+"""Settings of the whole test suite, and its known failing tests.
 
-Tests that KNOWN-RED.txt lists are left out and printed. Generated examples are
-the same on every run, so that the verdict is too; `POMELOBANK_EXAMPLES=explore`
-draws new ones, and more of them.
+The suite does not run the tests that KNOWN-RED.txt lists, and prints the list.
+Hypothesis generates the same examples on every run, so that the result does not
+vary from run to run; `POMELOBANK_EXAMPLES=explore` draws new and more examples.
 """
 
 import os
@@ -19,10 +19,10 @@
 
 
 def known_red() -> list[str]:
-    """Returns the list's entries: test, command and seed, seen, open issue.
+    """Returns the entries: test, command and seed, result, open issue.
 
-    However many there are, all are passed over and printed: a suite that stops
-    at one more would hide the fault that it was to show.
+    The suite deselects and prints any number of entries: a suite that aborted
+    at one entry too many would hide the faults that the remaining tests show.
     """
     if not KNOWN_RED.exists():
         return []
@@ -33,16 +33,16 @@
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Leaves out just the listed tests."""
-    listed = {line.split()[0] for line in known_red()}
-    red = [item for item in items if item.nodeid in listed]
-    items[:] = [item for item in items if item.nodeid not in listed]
-    config.hook.pytest_deselected(items=red)
+    """Deselects only the listed tests."""
+    listed_ids = {line.split()[0] for line in known_red()}
+    known_failures = [item for item in items if item.nodeid in listed_ids]
+    items[:] = [item for item in items if item.nodeid not in listed_ids]
+    config.hook.pytest_deselected(items=known_failures)
 
 
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Prints what was passed over."""
+    """Prints the entries of the tests that were not run."""
     for line in known_red():
-        terminalreporter.write_line(f"known red, passed over: {line}")
+        terminalreporter.write_line(f"known failing test, not run: {line}")
