--- a/packages/pomelobank-schema/src/pomelobank_schema/_checks.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/_checks.py
@@ -20,10 +20,11 @@
         text: The address, such as "127.0.0.1:8080" or "[::1]:8080".
 
     Returns:
-        The IP number and the port.
+        The IP address and the port.
 
     Raises:
-        SchemaError: If it has another form.
+        SchemaError: If the text has another form, its host is not an IP
+            address or its port is larger than 65535.
 
     >>> parse_address("127.0.0.1:8080")
     ('127.0.0.1', 8080)
@@ -44,7 +45,12 @@
 
 
 def in_range(low: int | None, high: int | None) -> Validator:
-    """Returns a validator for numbers from `low` to `high`."""
+    """Returns a validator for numbers from `low` to `high`.
+
+    Args:
+        low: Smallest allowed number; None if there is no lower limit.
+        high: Largest allowed number; None if there is no upper limit.
+    """
 
     def check(
         _: object, attribute: "attrs.Attribute[Any]", value: object
@@ -62,7 +68,7 @@
 
 
 def one_of(*allowed: str) -> Validator:
-    """Returns a validator for strings out of a closed list."""
+    """Returns a validator for strings that must be one of a list."""
 
     def check(
         _: object, attribute: "attrs.Attribute[Any]", value: object
@@ -90,7 +96,7 @@
 def address(
     _: object, attribute: "attrs.Attribute[Any]", value: object
 ) -> None:
-    """Validates one IP:PORT or a tuple of them; empty is allowed."""
+    """Validates one IP:PORT address or a tuple; empty strings are allowed."""
     for text in value if isinstance(value, tuple) else (value,):
         if text == "":
             continue
--- a/packages/pomelobank-schema/src/pomelobank_schema/_documents.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/_documents.py
@@ -1,4 +1,4 @@
-"""Documents for people: settings and operators' files in YAML."""
+"""Documents that people write: settings and operators' files in YAML."""
 
 import json
 import types
@@ -17,7 +17,7 @@
     """Reads one YAML file.
 
     Raises:
-        SchemaError: If the file cannot be read or is not YAML.
+        SchemaError: If the file is unreadable or is not YAML.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -27,17 +27,20 @@
         ) from None
     except UnicodeDecodeError:
         raise SchemaError(
-            SchemaErrorKind.MALFORMED, "", "is not YAML: it is no text"
+            SchemaErrorKind.MALFORMED,
+            "",
+            "is not YAML: the file is not valid UTF-8",
         ) from None
     try:
-        # YAML takes in JSON. A file that a program has written is most likely
-        # that, and reading it needs no further library: 30 ms of a start.
+        # Every JSON document is also YAML, and files that a program wrote are
+        # mostly JSON. To parse JSON first saves the import of the YAML library,
+        # which takes 30 ms at the start of a process.
         return json.loads(text)
     except ValueError:
-        return _read_text(text)
+        return _parse_yaml(text)
 
 
-def _read_text(text: str) -> object:
+def _parse_yaml(text: str) -> object:
     import yaml
 
     try:
@@ -49,97 +52,105 @@
         ) from None
 
 
-def build(model: type[ModelT], document: object, where: str = "") -> ModelT:
-    """Builds a generated class from a mapping.
+def build(
+    model: type[ModelT], document: object, field_path: str = ""
+) -> ModelT:
+    """Builds an object of a generated class from a mapping.
 
-    The general-purpose converters report all problems of a document as a tree;
-    operators want the first one in a line with the key and what is allowed.
+    General-purpose converters report all problems of a document as a tree.
+    This function reports only the first problem, so that operators get one line
+    with the key and the allowed values.
 
     Args:
         model: The generated class.
-        document: What YAML or JSON returned.
-        where: Path of the document, for messages.
+        document: The parsed YAML or JSON.
+        field_path: Path of `document` in the whole document, for messages;
+            empty for the whole document.
 
     Returns:
-        The checked object.
+        The validated object.
 
     Raises:
-        SchemaError: If a field is unknown, missing, of the wrong type or
-            breaks a limit.
+        SchemaError: If a field is unknown, missing, of the wrong type or out
+            of range.
     """
     if not isinstance(document, dict):
         raise SchemaError(
-            SchemaErrorKind.WRONG_TYPE, where, "expected a mapping of keys"
+            SchemaErrorKind.WRONG_TYPE, field_path, "expected a mapping of keys"
         )
     fields = {field.name: field for field in attrs.fields(model)}  # type: ignore[arg-type]
-    _refuse_unknown(document, fields, where)
-    _refuse_missing(document, fields, where)
+    _reject_unknown_keys(document, fields, field_path)
+    _reject_missing_keys(document, fields, field_path)
     hints = typing.get_type_hints(model)
     values = {
-        name: _value(hints[name], value, _join(where, name))
+        name: _convert_value(hints[name], value, _join_path(field_path, name))
         for name, value in document.items()
     }
     try:
         return model(**values)
     except SchemaError as error:
         raise SchemaError(
-            error.kind, _join(where, error.field_path), error.message
+            error.kind, _join_path(field_path, error.field_path), error.message
         ) from None
 
 
-def _refuse_unknown(
-    document: dict[Any, object], fields: dict[str, Any], where: str
+def _reject_unknown_keys(
+    document: dict[Any, object], fields: dict[str, Any], field_path: str
 ) -> None:
     for name in document:
         if name not in fields:
             raise SchemaError(
                 SchemaErrorKind.UNKNOWN_FIELD,
-                _join(where, str(name)),
+                _join_path(field_path, str(name)),
                 f"unknown key, allowed are {', '.join(fields)}",
             )
 
 
-def _refuse_missing(
-    document: dict[Any, object], fields: dict[str, Any], where: str
+def _reject_missing_keys(
+    document: dict[Any, object], fields: dict[str, Any], field_path: str
 ) -> None:
     for name, field in fields.items():
         if field.default is attrs.NOTHING and name not in document:
             raise SchemaError(
                 SchemaErrorKind.MISSING,
-                _join(where, name),
+                _join_path(field_path, name),
                 "is required",
             )
 
 
-def _join(where: str, name: str) -> str:
-    return f"{where}.{name}" if where and name else where or name
+def _join_path(field_path: str, name: str) -> str:
+    return f"{field_path}.{name}" if field_path and name else field_path or name
 
 
-def _value(hint: Any, value: object, where: str) -> object:
+def _convert_value(hint: Any, value: object, field_path: str) -> object:
     if isinstance(hint, types.UnionType):
         if value is None:
             return None
         hint = hint.__args__[0]
     if typing.get_origin(hint) is tuple:
-        return _items(typing.get_args(hint)[0], value, where)
+        return _convert_list(typing.get_args(hint)[0], value, field_path)
     if attrs.has(hint):
-        return build(hint, value, where)
+        return build(hint, value, field_path)
     if hint is float and type(value) is int:
         return float(value)
     if type(value) is not hint:
         raise SchemaError(
             SchemaErrorKind.WRONG_TYPE,
-            where,
+            field_path,
             f"expected {_TYPE_NAMES[hint]}, got {value!r}",
         )
     return value
 
 
-def _items(hint: Any, value: object, where: str) -> tuple[object, ...]:
+def _convert_list(
+    hint: Any, value: object, field_path: str
+) -> tuple[object, ...]:
     if not isinstance(value, list):
-        raise SchemaError(SchemaErrorKind.WRONG_TYPE, where, "expected a list")
+        raise SchemaError(
+            SchemaErrorKind.WRONG_TYPE, field_path, "expected a list"
+        )
     return tuple(
-        _value(hint, item, f"{where}[{index}]")
+        _convert_value(hint, item, f"{field_path}[{index}]")
         for index, item in enumerate(value)
     )
 
--- a/packages/pomelobank-schema/src/pomelobank_schema/_errors.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the codecs: input that does not match the schema."""
+"""Errors of the codecs for input that does not match the schema."""
 
 import enum
 
@@ -6,15 +6,17 @@
 
 
 class SchemaErrorKind(enum.Enum):
-    """Why bytes or a document could not be taken.
+    """Reason why a codec rejected bytes or a document.
 
     Attributes:
-        MALFORMED: Not msgpack, not YAML, or not the expected shape.
-        WRONG_TYPE: A field holds a value of another type.
-        OUT_OF_RANGE: A field's value breaks one of its limits.
+        MALFORMED: The input is not msgpack, not YAML or not of the expected
+            structure.
+        WRONG_TYPE: The value of a field has another type than the schema says.
+        OUT_OF_RANGE: The value of a field is outside its allowed values.
         MISSING: A required field is absent or empty.
-        UNKNOWN_FIELD: A document names a field that does not exist.
-        UNKNOWN_KIND: A frame or record of a kind this version cannot read.
+        UNKNOWN_FIELD: A document has a key that the schema does not have.
+        UNKNOWN_KIND: A frame or record has a kind number that this version
+            does not know.
     """
 
     MALFORMED = "malformed"
@@ -30,9 +32,10 @@
     """Input that does not match the schema.
 
     Attributes:
-        kind: Why it was refused.
-        field_path: Path of the field, such as "membership.period_ms".
-        message: What is wrong and what is allowed.
+        kind: Reason of the rejection.
+        field_path: Path of the field, such as "membership.period_ms"; empty if
+            the error concerns the whole input.
+        message: Description of the problem and of the allowed values.
     """
 
     kind: SchemaErrorKind
--- a/packages/pomelobank-schema/src/pomelobank_schema/_wire.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/_wire.py
@@ -1,4 +1,4 @@
-"""Positional msgpack codec of frames and records."""
+"""Codec of frames and records: msgpack arrays with fields by position."""
 
 from collections.abc import Callable, Sequence
 from typing import ClassVar, Protocol, Self, TypeVar
@@ -9,7 +9,7 @@
 
 
 class WireMessage(Protocol):
-    """A generated message with a kind number and a positional form."""
+    """A generated message with a kind number and fields by position."""
 
     KIND: ClassVar[int]
 
@@ -18,10 +18,10 @@
 
     @classmethod
     def from_wire(cls, values: Sequence[object]) -> Self:
-        """Builds the message from its fields; more fields are ignored."""
+        """Builds the message; ignores fields of newer versions."""
 
 
-# Each new packer takes a buffer of 256 KB.
+# Shared by all calls, because each packer allocates a buffer of 256 KB.
 _packer = msgpack.Packer()
 
 MessageT = TypeVar("MessageT")
@@ -31,40 +31,47 @@
 def read_field(
     values: Sequence[object],
     index: int,
-    kind: type[ValueT],
+    value_type: type[ValueT],
     default: ValueT,
     name: str,
 ) -> ValueT:
-    """Returns a field by position, or its default where the sender has none.
+    """Returns a field by position.
+
+    Args:
+        values: Fields of the message, in the order of their numbers.
+        index: Position of the field.
+        value_type: Type that the value must have.
+        default: Value if the message of an older sender lacks the field.
+        name: Name of the field, for the error message.
 
     Raises:
-        SchemaError: If the value is of another type.
+        SchemaError: If the value has another type.
     """
     try:
         value = values[index]
     except IndexError:
         return default
-    if value.__class__ is not kind:
-        raise _wrong_type(kind, value, name)
+    if value.__class__ is not value_type:
+        raise _wrong_type(value_type, value, name)
     return value
 
 
-def _wrong_type(kind: type, value: object, name: str) -> SchemaError:
+def _wrong_type(value_type: type, value: object, name: str) -> SchemaError:
     return SchemaError(
         SchemaErrorKind.WRONG_TYPE,
         name,
-        f"expected {kind.__name__}, got {type(value).__name__}",
+        f"expected {value_type.__name__}, got {type(value).__name__}",
     )
 
 
 def read_repeated(
-    values: Sequence[object], index: int, kind: type[ValueT], name: str
+    values: Sequence[object], index: int, value_type: type[ValueT], name: str
 ) -> tuple[ValueT, ...]:
-    """Returns a repeated field of plain values."""
+    """Returns a repeated field of scalar values."""
     items = read_field(values, index, list, [], name)
     for item in items:
-        if item.__class__ is not kind:
-            raise _wrong_type(kind, item, name)
+        if item.__class__ is not value_type:
+            raise _wrong_type(value_type, item, name)
     return tuple(items)
 
 
@@ -86,14 +93,14 @@
     build: Callable[[Sequence[object]], MessageT],
     name: str,
 ) -> MessageT | None:
-    """Returns a message field, None where the sender set none."""
+    """Returns a message field; None if the sender left the field unset."""
     if index >= len(values) or values[index] is None:
         return None
     return build(read_field(values, index, list, [], name))
 
 
 def encode(message: WireMessage) -> bytes:
-    """Encodes a frame or record as one msgpack array, its kind first."""
+    """Encodes a frame or record as a msgpack array: the kind, then fields."""
     packed: bytes = _packer.pack([message.KIND, *message.to_wire()])
     return packed
 
@@ -101,22 +108,24 @@
 def decode_values(
     values: object, kinds: dict[int, type[WireMessage]]
 ) -> WireMessage:
-    """Builds the message from an unpacked array.
+    """Builds the message from a decoded msgpack array.
 
     Args:
-        values: What msgpack returned.
-        kinds: Messages that are allowed here, by kind number.
+        values: The decoded msgpack value.
+        kinds: Allowed message classes by kind number.
 
     Returns:
         The message.
 
     Raises:
-        SchemaError: If it is not an array, of an unknown kind, or one of its
-            fields is wrong.
+        SchemaError: If the value is not an array that starts with a kind
+            number, the kind is unknown or a field is invalid.
     """
     if type(values) is not list or not values or type(values[0]) is not int:
         raise SchemaError(
-            SchemaErrorKind.MALFORMED, "", "expected an array led by a kind"
+            SchemaErrorKind.MALFORMED,
+            "",
+            "expected an array that starts with a kind number",
         )
     message_type = kinds.get(values[0])
     if message_type is None:
@@ -130,7 +139,7 @@
     """Decodes one frame or record.
 
     Raises:
-        SchemaError: If the bytes are not a message of these kinds.
+        SchemaError: If the bytes are not a valid message of `kinds`.
     """
     try:
         values = msgpack.unpackb(data)
--- a/packages/pomelobank-schema/src/pomelobank_schema/generate.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/generate.py
@@ -1,4 +1,4 @@
-"""Generates the code in `generated/` from `protos/`.
+"""Generates the Python code in `generated/` from the schema in `protos/`.
 
 Run as `python -m pomelobank_schema.generate`; needs `grpcio-tools`.
 """
@@ -15,14 +15,14 @@
 import attrs
 from google.protobuf import descriptor_pb2
 
-PACKAGE = Path(__file__).parent
-PROTOS = PACKAGE / "protos"
-GENERATED = PACKAGE / "generated"
+PACKAGE_DIR = Path(__file__).parent
+PROTOS_DIR = PACKAGE_DIR / "protos"
+GENERATED_DIR = PACKAGE_DIR / "generated"
 CLASS_MODULES = ("peer", "records", "settings")
 PROTOC_MODULES = ("options", "operator")
 
 _FIELD = descriptor_pb2.FieldDescriptorProto
-_PLAIN_TYPES = {
+_SCALAR_TYPES = {
     _FIELD.TYPE_INT32: ("int", "0"),
     _FIELD.TYPE_INT64: ("int", "0"),
     _FIELD.TYPE_STRING: ("str", '""'),
@@ -35,9 +35,9 @@
 
 
 def main() -> int:
-    """Writes the generated modules; returns the exit status."""
+    """Writes the generated modules and returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--out", type=Path, default=GENERATED)
+    parser.add_argument("--out", type=Path, default=GENERATED_DIR)
     write_all(parser.parse_args().out)
     return 0
 
@@ -57,9 +57,9 @@
     ]
     _protoc([*arguments, *(f"{name}.proto" for name in PROTOC_MODULES)])
     (out / "options_pb2_grpc.py").unlink()
-    stub = out / "operator_pb2_grpc.py"
-    text = stub.read_text()
-    stub.write_text(
+    stub_path = out / "operator_pb2_grpc.py"
+    text = stub_path.read_text()
+    stub_path.write_text(
         re.sub(
             r"^import operator_pb2",
             "from pomelobank_schema.generated import operator_pb2",
@@ -77,7 +77,7 @@
             sys.executable,
             "-m",
             "grpc_tools.protoc",
-            f"-I{PROTOS}",
+            f"-I{PROTOS_DIR}",
             f"-I{include}",
             *arguments,
         ],
@@ -87,14 +87,14 @@
 
 @attrs.frozen
 class FieldSpec:
-    """What the schema says of a field beside its type.
+    """Options that the schema attaches to a field.
 
     Attributes:
         unit: Unit of a number.
-        default: Value where a document leaves it out.
-        allowed: Range or list of values, for people.
-        reason: Why the default or the limit is what it is.
-        required: Whether it may not be left out.
+        default: Value if a document lacks the field.
+        allowed: Range, list or form of the allowed values, as readable text.
+        reason: Reason for the default or the limits.
+        required: Whether every document must have the field.
     """
 
     unit: str
@@ -105,7 +105,7 @@
 
 
 def field_spec(field: descriptor_pb2.FieldDescriptorProto) -> FieldSpec:
-    """Returns what the schema says of a field beside its type."""
+    """Returns the options that the schema attaches to a field."""
     options = _options()
     extensions = field.options.Extensions
     low, high = extensions[options.min], extensions[options.max]
@@ -128,8 +128,8 @@
     """One schema file with its comments.
 
     Attributes:
-        file: The file's descriptor.
-        comments: Its comments by place.
+        file: Descriptor of the file.
+        comments: Leading comments by protoc's path of their element.
     """
 
     file: descriptor_pb2.FileDescriptorProto
@@ -137,12 +137,12 @@
 
     @classmethod
     def read(cls, module: str) -> "Schema":
-        """Reads a schema file by its module's name."""
+        """Reads the schema file of a module."""
         _options()  # Registers the extensions before descriptors are parsed.
         file = _descriptor(module)
         comments = {
-            tuple(place.path): " ".join(place.leading_comments.split())
-            for place in file.source_code_info.location
+            tuple(location.path): " ".join(location.leading_comments.split())
+            for location in file.source_code_info.location
         }
         return cls(file, comments)
 
@@ -152,28 +152,28 @@
         field: descriptor_pb2.FieldDescriptorProto,
     ) -> str:
         """Returns the comment of a field."""
-        names = [item.name for item in self.file.message_type]
-        numbers = [item.name for item in message.field]
-        place = (
+        message_names = [item.name for item in self.file.message_type]
+        field_names = [item.name for item in message.field]
+        path = (
             _MESSAGE_TYPE_NUMBER,
-            names.index(message.name),
+            message_names.index(message.name),
             _FIELD_NUMBER,
-            numbers.index(field.name),
+            field_names.index(field.name),
         )
-        return self.comments.get(place, "")
+        return self.comments.get(path, "")
 
 
 def _descriptor(module: str) -> descriptor_pb2.FileDescriptorProto:
     with tempfile.TemporaryDirectory() as scratch:
-        target = Path(scratch) / "set.bin"
+        output = Path(scratch) / "set.bin"
         _protoc(
             [
                 "--include_source_info",
-                f"--descriptor_set_out={target}",
+                f"--descriptor_set_out={output}",
                 f"{module}.proto",
             ]
         )
-        files = descriptor_pb2.FileDescriptorSet.FromString(target.read_bytes())
+        files = descriptor_pb2.FileDescriptorSet.FromString(output.read_bytes())
     return files.file[-1]
 
 
@@ -184,7 +184,7 @@
 def _module_source(module: str) -> str:
     schema = Schema.read(module)
     file, comments = schema.file, schema.comments
-    parts = [
+    sections = [
         f'"""Generated from {module}.proto; do not edit."""\n\n'
         "from __future__ import annotations\n\n"
         "from collections.abc import Sequence\n"
@@ -193,18 +193,20 @@
         "from pomelobank_schema import _checks, _wire\n"
     ]
     for index, message in enumerate(file.message_type):
-        parts.append(_class_source(message, index, comments))
-    parts.append(_kinds_source(file))
-    source = "\n".join(parts)
+        sections.append(_class_source(message, index, comments))
+    sections.append(_kinds_table_source(file))
+    source = "\n".join(sections)
     if "cast(" not in source:
         source = source.replace("ClassVar, cast", "ClassVar")
     return source
 
 
-def _kinds_source(file: descriptor_pb2.FileDescriptorProto) -> str:
+def _kinds_table_source(file: descriptor_pb2.FileDescriptorProto) -> str:
     options = _options()
     kinds = [
-        m.name for m in file.message_type if m.options.Extensions[options.kind]
+        message.name
+        for message in file.message_type
+        if message.options.Extensions[options.kind]
     ]
     lines = ["", "KINDS: dict[int, type[_wire.WireMessage]] = {"]
     lines += [f"    {name}.KIND: {name}," for name in kinds]
@@ -218,12 +220,12 @@
     comments: dict[tuple[int, ...], str],
 ) -> str:
     options = _options()
-    place = (_MESSAGE_TYPE_NUMBER, index)
+    path = (_MESSAGE_TYPE_NUMBER, index)
     lines = ["", "@attrs.frozen(kw_only=True)", f"class {message.name}:"]
-    lines.append(f'    """{comments.get(place, message.name)}')
+    lines.append(f'    """{comments.get(path, message.name)}')
     lines += ["", "    Attributes:"]
     for number, field in enumerate(message.field):
-        text = comments.get((*place, _FIELD_NUMBER, number), "")
+        text = comments.get((*path, _FIELD_NUMBER, number), "")
         unit = field.options.Extensions[options.unit]
         lines.append(
             f"        {field.name}: {text}" + (f" In {unit}." if unit else "")
@@ -246,7 +248,7 @@
     if field.type == _FIELD.TYPE_MESSAGE:
         base = field.type_name.rsplit(".", 1)[-1]
     else:
-        base = _PLAIN_TYPES[field.type][0]
+        base = _SCALAR_TYPES[field.type][0]
     if field.label == _FIELD.LABEL_REPEATED:
         return f"tuple[{base}, ...]"
     return f"{base} | None" if field.proto3_optional else base
@@ -269,28 +271,28 @@
     choices = extensions[options.one_of]
     if choices:
         return repr(choices.split(",")[0])
-    return _PLAIN_TYPES[field.type][1]
+    return _SCALAR_TYPES[field.type][1]
 
 
 def _validators(field: descriptor_pb2.FieldDescriptorProto) -> list[str]:
     options = _options()
     extensions = field.options.Extensions
-    found = []
-    plain_required = (
+    validators = []
+    is_required_string = (
         extensions[options.required] and field.type == _FIELD.TYPE_STRING
     )
-    if plain_required:
-        found.append("_checks.not_empty")
+    if is_required_string:
+        validators.append("_checks.not_empty")
     if extensions[options.ip_port]:
-        found.append("_checks.address")
+        validators.append("_checks.address")
     choices = extensions[options.one_of]
     if choices:
         names = ", ".join(repr(choice) for choice in choices.split(","))
-        found.append(f"_checks.one_of({names})")
+        validators.append(f"_checks.one_of({names})")
     low, high = extensions[options.min], extensions[options.max]
     if low or high:
-        found.append(f"_checks.in_range({low}, {high})")
-    return found
+        validators.append(f"_checks.in_range({low}, {high})")
+    return validators
 
 
 def _field_source(field: descriptor_pb2.FieldDescriptorProto) -> str:
@@ -301,8 +303,8 @@
         arguments.append(f"validator={validators[0]}")
     elif validators:
         arguments.append(f"validator=[{', '.join(validators)}]")
-    inside = ", ".join(arguments)
-    return f"{field.name}: {_type_name(field)} = attrs.field({inside})"
+    joined = ", ".join(arguments)
+    return f"{field.name}: {_type_name(field)} = attrs.field({joined})"
 
 
 def _to_wire_source(message: descriptor_pb2.DescriptorProto) -> list[str]:
@@ -329,14 +331,20 @@
     lines += [
         f"    def from_wire(cls, values: Sequence[object]) -> {message.name}:"
     ]
-    lines += ['        """Builds the message; further fields are ignored."""']
+    lines += [
+        '        """Builds the message; ignores fields of newer versions."""'
+    ]
     lines += ["        return cls("]
     for index, field in enumerate(message.field):
-        lines.append(f"            {field.name}={_take_source(field, index)},")
+        lines.append(
+            f"            {field.name}={_read_call_source(field, index)},"
+        )
     return [*lines, "        )"]
 
 
-def _take_source(field: descriptor_pb2.FieldDescriptorProto, index: int) -> str:
+def _read_call_source(
+    field: descriptor_pb2.FieldDescriptorProto, index: int
+) -> str:
     repeated = field.label == _FIELD.LABEL_REPEATED
     if field.type == _FIELD.TYPE_MESSAGE:
         base = field.type_name.rsplit(".", 1)[-1]
@@ -346,7 +354,7 @@
         if repeated or field.proto3_optional:
             return source
         return f"cast({base!r}, {source})"
-    base, empty = _PLAIN_TYPES[field.type]
+    base, empty = _SCALAR_TYPES[field.type]
     if repeated:
         return f'_wire.read_repeated(values, {index}, {base}, "{field.name}")'
     default = _default(field) or empty
--- a/packages/pomelobank-schema/src/pomelobank_schema/operator_messages.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/operator_messages.py
@@ -1,4 +1,4 @@
-"""Operators' messages of the objects that records and documents hold."""
+"""Converts objects of records and documents to operators' messages."""
 
 import functools
 
@@ -14,8 +14,10 @@
 def object_message(
     value: ServiceObject | UpstreamObject | RouteObject,
 ) -> pb.ConfigObject:
-    """Returns the operators' message of an object, without a revision."""
-    raise TypeError(f"no message for {type(value).__name__}")
+    """Returns the operators' message for an object; its revision is unset."""
+    raise TypeError(
+        f"no operators' message for an object of type {type(value).__name__}"
+    )
 
 
 @object_message.register
--- a/packages/pomelobank-schema/src/pomelobank_schema/packed_frames.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/packed_frames.py
@@ -1,8 +1,9 @@
-"""Packs frames that name many members.
+"""Compresses frames that contain many member entries.
 
-Entries of members differ by a few characters. A table of 194 of them takes
-20 KB as it stands and a quarter of that packed, and in the start of a mesh each
-node is sent it several times over lines between data centres.
+Member entries differ by a few characters and therefore compress well: a table
+of 194 members takes 20 KB uncompressed and a quarter of that compressed. At the
+start of a mesh, each node receives the table several times over network links
+between data centres.
 """
 
 import functools
@@ -20,50 +21,55 @@
     SyncReply,
 )
 
-# Shorter frames gain too little for the work.
-_PACK_FROM_BYTES = 400
-_LEVEL = 1
-_USUAL_BYTES = 16 * 1024
-# Thousands of members; a broken peer cannot fill the memory.
-_MAX_BYTES = 4 * 1024 * 1024
+# Compressing shorter frames saves too few bytes for its processor time.
+_MIN_PACKED_BYTES = 400
+_COMPRESSION_LEVEL = 1
+_TYPICAL_FRAME_BYTES = 16 * 1024
+# Enough for thousands of members; bounds the memory that a frame of a faulty
+# peer can take.
+_MAX_UNPACKED_BYTES = 4 * 1024 * 1024
 _PACKED_TYPES = (Gossip, ProbeRequest, ProbeReply, IndirectProbe, SyncReply)
 
 
 def encode_frame(message: WireMessage) -> bytes:
-    """Encodes a frame, packed where that makes it shorter."""
+    """Encodes a frame, compressed if that makes the frame shorter."""
     data = encode(message)
-    if len(data) < _PACK_FROM_BYTES or not isinstance(message, _PACKED_TYPES):
+    if len(data) < _MIN_PACKED_BYTES or not isinstance(message, _PACKED_TYPES):
         return data
-    packed = encode(PackedFrame(data=_packer().compress(data)))
+    packed = encode(PackedFrame(data=_compressor().compress(data)))
     return min(packed, data, key=len)
 
 
 def unpack_frame(
     frame: WireMessage, kinds: dict[int, type[WireMessage]]
 ) -> WireMessage:
-    """Returns the frame in a packed one, any other as it is.
+    """Returns the frame inside a packed frame, any other frame unchanged.
 
     Args:
-        frame: The frame as it came.
-        kinds: Messages that are allowed here, by kind number.
+        frame: The received frame.
+        kinds: Allowed message classes by kind number.
 
     Raises:
-        SchemaError: If it cannot be unpacked, or holds another packed one.
+        SchemaError: If the frame cannot be decompressed or contains another
+            packed frame.
     """
     if not isinstance(frame, PackedFrame):
         return frame
     inner = decode(_unpack(frame.data), kinds)
     if isinstance(inner, PackedFrame):
-        raise _malformed("a packed frame holds another one")
+        raise _malformed("a packed frame contains another packed frame")
     return inner
 
 
 def _unpack(data: bytes) -> bytes:
     try:
         size = zstandard.frame_content_size(data)
-        if not 0 <= size <= _MAX_BYTES:
-            raise _malformed(f"a packed frame cannot be {size} bytes long")
-        return _unpacker().decompress(data)
+        if not 0 <= size <= _MAX_UNPACKED_BYTES:
+            raise _malformed(
+                f"a packed frame cannot be {size} bytes long, allowed is 0 to"
+                f" {_MAX_UNPACKED_BYTES}"
+            )
+        return _decompressor().decompress(data)
     except zstandard.ZstdError as error:
         raise _malformed(f"not a packed frame: {error}") from None
 
@@ -73,13 +79,13 @@
 
 
 @functools.cache
-def _packer() -> zstandard.ZstdCompressor:
+def _compressor() -> zstandard.ZstdCompressor:
     parameters = zstandard.ZstdCompressionParameters.from_level(
-        _LEVEL, source_size=_USUAL_BYTES
+        _COMPRESSION_LEVEL, source_size=_TYPICAL_FRAME_BYTES
     )
     return zstandard.ZstdCompressor(compression_params=parameters)
 
 
 @functools.cache
-def _unpacker() -> zstandard.ZstdDecompressor:
+def _decompressor() -> zstandard.ZstdDecompressor:
     return zstandard.ZstdDecompressor()
--- a/packages/pomelobank-schema/src/pomelobank_schema/reference.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/reference.py
@@ -11,23 +11,23 @@
 
 from pomelobank_schema import generate
 
-_ROOT = "NodeSettings"
+_ROOT_MESSAGE = "NodeSettings"
 
 
 def settings_page() -> str:
-    """Returns the page of all settings."""
+    """Returns the Markdown page with all settings."""
     schema = generate.Schema.read("settings")
     messages = {item.name: item for item in schema.file.message_type}
-    rows = list(_rows(schema, messages, messages[_ROOT], ""))
+    rows = list(_rows(schema, messages, messages[_ROOT_MESSAGE], ""))
     return "\n".join(
         [
             "# Settings",
             "",
             "A node reads one YAML file; `pomelobankd --check-settings FILE`"
-            " checks it and ends with status 0, or with status 2 and one line"
-            " that names the key and what is allowed.",
+            " checks the file and exits with status 0, or with status 2 and one"
+            " line that names the key and the allowed values.",
             "",
-            "| key | unit | default | allowed | what it is, and why so |",
+            "| key | unit | default | allowed | description and reason |",
             "|---|---|---|---|---|",
             *rows,
             "",
@@ -43,9 +43,9 @@
 ) -> Iterator[str]:
     for field in message.field:
         key = f"{prefix}{field.name}"
-        inner = messages.get(field.type_name.rsplit(".", 1)[-1])
-        if inner is not None:
-            yield from _rows(schema, messages, inner, f"{key}.")
+        nested = messages.get(field.type_name.rsplit(".", 1)[-1])
+        if nested is not None:
+            yield from _rows(schema, messages, nested, f"{key}.")
         else:
             yield _row(schema, message, field, key)
 
@@ -56,19 +56,19 @@
     field: descriptor_pb2.FieldDescriptorProto,
     key: str,
 ) -> str:
-    limits = generate.field_spec(field)
+    spec = generate.field_spec(field)
     text = schema.comment(message, field)
-    if limits.reason:
-        text = f"{text} {limits.reason}"
-    default = "required" if limits.required else f"`{limits.default or '-'}`"
+    if spec.reason:
+        text = f"{text} {spec.reason}"
+    default = "required" if spec.required else f"`{spec.default or '-'}`"
     return (
-        f"| `{key}` | {limits.unit or '-'} | {default} |"
-        f" {limits.allowed or '-'} | {text} |"
+        f"| `{key}` | {spec.unit or '-'} | {default} |"
+        f" {spec.allowed or '-'} | {text} |"
     )
 
 
 def write_all(folder: Path) -> None:
-    """Writes every page into a folder."""
+    """Writes every reference page into a folder."""
     (folder / "settings.md").write_text(settings_page())
 
 
--- a/packages/pomelobank-schema/src/pomelobank_schema/tests/test_documents.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Settings that are wrong get one message with the key and what is allowed."""
+"""Invalid settings give one message with the key and the allowed values."""
 
 from typing import Any
 
@@ -8,11 +8,11 @@
 from pomelobank_schema.generated.settings import NodeSettings
 
 LOG = {"address": "127.0.0.1:9000"}
-GOOD: dict[str, Any] = {"node": "a", "data_centre": "hobart", "log": LOG}
+VALID: dict[str, Any] = {"node": "a", "data_centre": "hobart", "log": LOG}
 
 
-def test_good_settings_get_their_defaults() -> None:
-    settings = build(NodeSettings, GOOD)
+def test_valid_settings_get_their_defaults() -> None:
+    settings = build(NodeSettings, VALID)
     assert settings.membership.period_ms == 500
     assert settings.log.timeout_ms == 2000
 
@@ -21,43 +21,43 @@
     ("document", "kind", "message"),
     [
         pytest.param(
-            {**GOOD, "colour": "red"},
+            {**VALID, "colour": "red"},
             SchemaErrorKind.UNKNOWN_FIELD,
             "colour: unknown key, allowed are node,",
             id="unknown key",
         ),
         pytest.param(
-            {**GOOD, "membership": {"period_ms": "5"}},
+            {**VALID, "membership": {"period_ms": "5"}},
             SchemaErrorKind.WRONG_TYPE,
             "membership.period_ms: expected a whole number, got '5'",
             id="text for a number",
         ),
         pytest.param(
-            {**GOOD, "membership": {"period_ms": 5}},
+            {**VALID, "membership": {"period_ms": 5}},
             SchemaErrorKind.OUT_OF_RANGE,
             "membership.period_ms: 5 is out of range, allowed is 20 to 60000",
             id="too small",
         ),
         pytest.param(
-            {**GOOD, "membership": {"period_ms": True}},
+            {**VALID, "membership": {"period_ms": True}},
             SchemaErrorKind.WRONG_TYPE,
             "membership.period_ms: expected a whole number, got True",
-            id="truth value for a number",
+            id="boolean for a number",
         ),
         pytest.param(
-            {**GOOD, "listen": {"http": "localhost:80"}},
+            {**VALID, "listen": {"http": "localhost:80"}},
             SchemaErrorKind.OUT_OF_RANGE,
             "listen.http: 'localhost:80' is not an address of the form IP:PORT",
-            id="name for an IP number",
+            id="host name for an IP address",
         ),
         pytest.param(
-            {**GOOD, "log": {}},
+            {**VALID, "log": {}},
             SchemaErrorKind.MISSING,
             "log.address: is required",
             id="missing",
         ),
         pytest.param(
-            {**GOOD, "node": ""},
+            {**VALID, "node": ""},
             SchemaErrorKind.MISSING,
             "node: must not be empty",
             id="empty",
@@ -70,7 +70,7 @@
         ),
     ],
 )
-def test_wrong_settings(
+def test_invalid_settings_are_rejected(
     document: object, kind: SchemaErrorKind, message: str
 ) -> None:
     with pytest.raises(SchemaError) as caught:
--- a/packages/pomelobank-schema/src/pomelobank_schema/tests/test_generated.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/tests/test_generated.py
@@ -7,8 +7,11 @@
 
 def test_regenerating_changes_nothing(tmp_path: Path) -> None:
     generate.write_all(tmp_path)
-    fresh = {item.name: item.read_text() for item in tmp_path.glob("*.py*")}
-    kept = {
-        item.name: item.read_text() for item in generate.GENERATED.glob("*.py*")
+    generated_now = {
+        item.name: item.read_text() for item in tmp_path.glob("*.py*")
     }
-    assert fresh == kept, "run ./generate"
+    committed = {
+        item.name: item.read_text()
+        for item in generate.GENERATED_DIR.glob("*.py*")
+    }
+    assert generated_now == committed, "run ./generate"
--- a/packages/pomelobank-schema/src/pomelobank_schema/tests/test_packed_frames.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/tests/test_packed_frames.py
@@ -1,4 +1,4 @@
-"""Packed frames on their way between nodes."""
+"""Encoding and decoding of packed frames."""
 
 import pytest
 import zstandard
@@ -33,17 +33,20 @@
         pytest.param(gossip(1), id="short"),
         pytest.param(gossip(194), id="long"),
         pytest.param(
-            BodyChunk(request_id=1, data=b"a" * 9000), id="not of members"
+            BodyChunk(request_id=1, data=b"a" * 9000),
+            id="frame without member entries",
         ),
     ],
 )
-def test_a_frame_comes_as_it_was_sent(frame: Gossip | BodyChunk) -> None:
+def test_frame_is_unchanged_after_encoding_and_decoding(
+    frame: Gossip | BodyChunk,
+) -> None:
     received = decode(encode_frame(frame), peer.KINDS)
     assert unpack_frame(received, peer.KINDS) == frame
 
 
-def test_a_table_takes_a_third_of_its_bytes() -> None:
-    """Guards against entries that are sent as they stand."""
+def test_member_table_is_compressed_to_a_third() -> None:
+    """Guards against member tables that are sent uncompressed."""
     table = gossip(194)
     assert len(encode_frame(table)) < len(encode(table)) / 3
 
@@ -58,21 +61,24 @@
         ),
     ],
 )
-def test_what_cannot_be_unpacked_is_refused(data: bytes, message: str) -> None:
-    """Guards against a broken peer that fills the memory."""
+def test_invalid_packed_frame_is_rejected(data: bytes, message: str) -> None:
+    """A faulty peer sends bytes that are not compressed or expand too far.
+
+    A node that decompressed without a limit could run out of memory.
+    """
     with pytest.raises(SchemaError, match=message):
         unpack_frame(PackedFrame(data=data), peer.KINDS)
 
 
-def test_a_packed_frame_in_a_packed_one_is_refused() -> None:
-    """Guards against a broken peer that nests frames without an end."""
+def test_packed_frame_inside_a_packed_frame_is_rejected() -> None:
+    """Guards against a faulty peer that nests packed frames endlessly."""
     inner = decode(encode_frame(gossip(194)), peer.KINDS)
     assert isinstance(inner, PackedFrame)
     nested = encode_frame(inner)
-    packed = PackedFrame(data=pack(nested))
-    with pytest.raises(SchemaError, match="another one"):
+    packed = PackedFrame(data=compress(nested))
+    with pytest.raises(SchemaError, match="another packed frame"):
         unpack_frame(packed, peer.KINDS)
 
 
-def pack(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     return zstandard.ZstdCompressor().compress(data)
--- a/packages/pomelobank-schema/src/pomelobank_schema/tests/test_wire.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames and records: what cannot be read is a typed error, never a crash."""
+"""Frames and records; unreadable input raises only `SchemaError`."""
 
 import msgpack
 import pytest
@@ -43,16 +43,16 @@
 )
 
 
-def test_a_record_comes_back_as_it_was() -> None:
+def test_record_is_unchanged_after_encoding_and_decoding() -> None:
     assert decode(encode(CHANGE), records.KINDS) == CHANGE
 
 
-def test_fields_of_a_newer_version_are_passed_over() -> None:
+def test_fields_of_a_newer_version_are_ignored() -> None:
     values = [CHANGE.KIND, *CHANGE.to_wire(), "from a newer version"]
     assert decode(msgpack.packb(values), records.KINDS) == CHANGE
 
 
-def test_fields_that_an_older_version_lacks_get_their_defaults() -> None:
+def test_fields_missing_from_an_older_version_get_their_defaults() -> None:
     values = [CHANGE.KIND, "c1", "ann"]
     assert decode(msgpack.packb(values), records.KINDS) == records.ChangeRecord(
         change_id="c1", author="ann"
@@ -83,7 +83,7 @@
         ),
     ],
 )
-def test_records_that_cannot_be_read(
+def test_unreadable_records_are_rejected(
     data: bytes, kind: SchemaErrorKind
 ) -> None:
     with pytest.raises(SchemaError) as caught:
@@ -93,7 +93,9 @@
 
 @pytest.mark.parametrize("family", sorted(KINDS))
 @given(data=st.binary(max_size=60))
-def test_any_bytes(family: str, data: bytes) -> None:
+def test_any_bytes_decode_or_raise_a_schema_error(
+    family: str, data: bytes
+) -> None:
     try:
         decode(data, KINDS[family])
     except SchemaError:
@@ -101,10 +103,12 @@
 
 
 @pytest.mark.parametrize("family", sorted(KINDS))
-@given(place=st.integers(0, 50), fields=st.lists(VALUES, max_size=14))
-def test_any_fields(family: str, place: int, fields: list[object]) -> None:
+@given(kind_index=st.integers(0, 50), fields=st.lists(VALUES, max_size=14))
+def test_any_fields_decode_or_raise_a_schema_error(
+    family: str, kind_index: int, fields: list[object]
+) -> None:
     kinds = sorted(KINDS[family])
-    kind = kinds[place % len(kinds)]
+    kind = kinds[kind_index % len(kinds)]
     try:
         message = decode(msgpack.packb([kind, *fields]), KINDS[family])
     except SchemaError:
