--- a/packages/pomelobank-node/src/pomelobank_node/__init__.py
+++ b/packages/pomelobank-node/src/pomelobank_node/__init__.py
@@ -1,7 +1,8 @@
-"""The pomelobank node beside each target.
+"""The pomelobank node, the proxy process beside each target.
 
-The names below are loaded when they are first used: a start-up that assembles
-a node from other parts would otherwise pay for all of them in memory.
+The package imports the modules of its public names on first use. A program that
+assembles a node from other components would otherwise hold all these modules in
+memory.
 """
 
 import importlib
@@ -34,8 +35,8 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Loads one of the package's names."""
+    """Imports the module of a public name on first use."""
     if name not in _MODULES:
-        raise AttributeError(f"{__name__} has no {name}")
+        raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     module, attribute = _MODULES[name]
     return getattr(importlib.import_module(f"{__name__}.{module}"), attribute)
--- a/packages/pomelobank-node/src/pomelobank_node/__main__.py
+++ b/packages/pomelobank-node/src/pomelobank_node/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a node: `python -m pomelobank_node`."""
+"""Runs a node with `python -m pomelobank_node`."""
 
 import sys
 
--- a/packages/pomelobank-node/src/pomelobank_node/_application.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_application.py
@@ -1,4 +1,4 @@
-"""The application object: owns every part of a node and cleans it up."""
+"""The application object, which creates, starts and stops all components."""
 
 import asyncio
 import logging
@@ -36,11 +36,11 @@
 
 @attrs.define(eq=False, slots=False)
 class NodeApplication:
-    """One node.
+    """A node that uses the product's own log for its configuration.
 
     Attributes:
-        settings: Its settings.
-        started_components: Parts to stop, in the order of their start.
+        settings: The node's settings.
+        started_components: Components to stop, in the order of their start.
     """
 
     settings: NodeSettings
@@ -101,16 +101,17 @@
             self.store, self.log, self.feed, self.membership, self.clock
         )
         listen = settings.listen
-        pages = self.admin_api.application()
-        pages.add_route("/metrics", self.metrics.handle_request)
-        # A caller that never reads its answer must not hold up a stop.
+        admin_application = self.admin_api.application()
+        admin_application.add_route("/metrics", self.metrics.handle_request)
+        # The drain time-out also limits the stop of the server. Without this
+        # limit, a caller that never reads its response would block the stop.
         self.http = CallerServer(
             listen.http,
             self.ingress,
             limits=HttpLimits(body_bytes=settings.requests.max_body_bytes),
             stop_timeout_ms=settings.requests.drain_timeout_ms,
         )
-        self.admin = HttpServer(listen.admin, pages)
+        self.admin = HttpServer(listen.admin, admin_application)
         self.peers = PeerServer(
             listen.peer, self.owner, self.membership, self.feed, self.claims
         )
@@ -129,8 +130,8 @@
         dispatcher.claims = self.claims
 
     async def start(self) -> None:
-        """Starts every part; the first requests are taken at the end."""
-        for part in (
+        """Starts all components; the servers for callers come near the end."""
+        for component in (
             self.metrics,
             self.log,
             self.links,
@@ -139,7 +140,7 @@
             self.peers,
             self.operator,
         ):
-            await self._start(part)
+            await self._start(component)
         await self._start(self.feed)
         await self._start(self.target)
         for server in (self.http, self.admin):
@@ -160,16 +161,17 @@
             },
         )
 
-    async def _start(self, part: Component) -> None:
-        await part.start()
-        self.started_components.append(part)
+    async def _start(self, component: Component) -> None:
+        await component.start()
+        self.started_components.append(component)
 
     async def stop(self) -> None:
-        """Drains, then stops every part without cutting a request off.
+        """Drains the node, then stops all components.
 
-        Work from peers ends first, then callers' own requests, which still
-        need the streams to peers; membership goes on until nothing is left to
-        be told, and the streams go last.
+        Requests from peers end first. Callers' requests end next, because they
+        still need the streams to peers. Membership runs until the node has
+        announced that it leaves, and the streams to peers close last. In this
+        order, no request that ends within the drain time-out is cut off.
         """
         _logger.info("node.draining")
         await self.target.close()
@@ -183,9 +185,9 @@
             await server.stop()
         _logger.info("node.servers_stopped")
         await self.membership.leave()
-        for part in reversed(self.started_components):
-            if part not in (self.http, self.admin):
-                await part.stop()
+        for component in reversed(self.started_components):
+            if component not in (self.http, self.admin):
+                await component.stop()
         _logger.info("node.stopped")
 
 
@@ -194,7 +196,7 @@
     ended: asyncio.Event,
     on_started: Callable[[], None],
 ) -> None:
-    """Runs a node until an event is set, then stops it cleanly."""
+    """Starts a node, waits until `ended` is set and stops the node."""
     await application.start()
     on_started()
     await ended.wait()
--- a/packages/pomelobank-node/src/pomelobank_node/_component.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_component.py
@@ -1,13 +1,13 @@
-"""The life-cycle hooks by which an application object owns its parts."""
+"""The life-cycle interface of a node's components."""
 
 from typing import Protocol
 
 
 class Component(Protocol):
-    """A part of the node with life-cycle hooks."""
+    """A component that the application object starts and stops."""
 
     async def start(self) -> None:
-        """Begins its work; called once, in order."""
+        """Starts the component; called once, in the order of assembly."""
 
     async def stop(self) -> None:
-        """Ends its work; called once, in reverse order."""
+        """Stops the component; called once, in reverse order of the start."""
--- a/packages/pomelobank-node/src/pomelobank_node/_event_loop.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop and the garbage collector of a node's process."""
+"""The event loop and the garbage collector settings of a node's process."""
 
 import asyncio
 import gc
@@ -6,44 +6,45 @@
 from collections.abc import Coroutine
 from typing import TypeVar
 
-# Turns of the loop without a question to the kernel while callbacks are ready.
-# A request takes about this many turns on its way through a node; new events
-# wait for that at most.
+# Consecutive loop iterations that may skip the poll for I/O events while
+# callbacks are ready. A request takes about this many iterations in a node, so
+# new events wait no longer than one request takes.
 MAX_SKIPPED_POLLS = 16
 
-# Objects that are made before the youngest are looked at. Each closed
-# connection leaves a cycle of its parser, protocol and transport; with ten
-# times as many, five megabytes of them stay.
-_YOUNG_OBJECTS = 2_000
-_YOUNG_ROUNDS = 10
+# Allocations between collections of the youngest generation. Each closed
+# connection leaves a reference cycle of its parser, protocol and transport; at
+# ten times this threshold, 5 MB of these cycles stay in memory.
+_YOUNG_GENERATION_ALLOCATIONS = 2_000
+# Collections of one generation before the next older one is collected.
+_COLLECTIONS_PER_OLDER_GENERATION = 10
 
 ResultT = TypeVar("ResultT")
 
 
 class PollSkippingSelector(selectors.DefaultSelector):
-    """Skips questions that would only be asked in passing.
+    """Skips most polls for I/O events while the loop has callbacks to run.
 
-    The loop asks for events in each turn, also where its own callbacks are
-    ready. One request passes through a dozen such turns, so that most system
-    calls of a node were questions whose answer could have waited.
+    The standard loop polls in each iteration, even if callbacks are ready. A
+    request takes a dozen such iterations, so most system calls of a node would
+    be polls whose events can wait.
 
     Attributes:
-        skipped: Questions that were skipped in a row.
+        skipped_polls: Number of consecutive polls skipped so far.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.skipped = 0
+        self.skipped_polls = 0
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Returns what is ready; nothing where the loop has work to do."""
-        is_passing = timeout is not None and timeout <= 0
-        if is_passing and self.skipped < MAX_SKIPPED_POLLS:
-            self.skipped += 1
+        """Returns the ready events; an empty list if the poll is skipped."""
+        is_non_blocking = timeout is not None and timeout <= 0
+        if is_non_blocking and self.skipped_polls < MAX_SKIPPED_POLLS:
+            self.skipped_polls += 1
             return []
-        self.skipped = 0
+        self.skipped_polls = 0
         events: list[tuple[selectors.SelectorKey, int]] = super().select(
             timeout
         )
@@ -51,23 +52,28 @@
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """Returns the event loop of a node."""
+    """Creates the event loop of a node."""
     return asyncio.SelectorEventLoop(PollSkippingSelector())
 
 
 def tune_garbage_collector() -> None:
-    """Keeps the garbage collector from stopping requests.
+    """Shortens the pauses of the garbage collector.
 
-    A full collection walks everything that was imported, tens of milliseconds
-    in which no request moves: it shows as outliers far beyond the 99th
-    percentile. What exists at the start is never garbage, so it is left out.
+    A full collection traverses all imported modules. It blocks all requests
+    for tens of milliseconds, which shows as latency outliers far beyond the
+    99th percentile. Objects that exist at start-up never become garbage, so
+    this function excludes them from collection.
     """
     gc.freeze()
-    gc.set_threshold(_YOUNG_OBJECTS, _YOUNG_ROUNDS, _YOUNG_ROUNDS)
+    gc.set_threshold(
+        _YOUNG_GENERATION_ALLOCATIONS,
+        _COLLECTIONS_PER_OLDER_GENERATION,
+        _COLLECTIONS_PER_OLDER_GENERATION,
+    )
     gc.enable()
 
 
 def run_program(main: Coroutine[None, None, ResultT]) -> ResultT:
-    """Runs a program's main coroutine to its end and returns its result."""
+    """Runs a program's main coroutine and returns its result."""
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         return runner.run(main)
--- a/packages/pomelobank-node/src/pomelobank_node/_identity.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_identity.py
@@ -1,4 +1,4 @@
-"""Who a node is to its peers."""
+"""The identity under which a node appears to its peers."""
 
 import attrs
 
@@ -10,11 +10,12 @@
 
 @attrs.frozen
 class Identity:
-    """One start of a node.
+    """The identity of one start (incarnation) of a node.
 
     Attributes:
-        entry: What members know of it; its addresses come once it listens.
-        hello: What it says first on each stream.
+        entry: The node's initial membership entry. The node adds its addresses
+            to the entry once it listens.
+        hello: First message that the node sends on each stream to a peer.
     """
 
     entry: MemberEntry
@@ -22,7 +23,7 @@
 
     @classmethod
     def of(cls, settings: NodeSettings, clock: Clock) -> "Identity":
-        """Returns the identity of a node that starts now."""
+        """Creates the identity of a node that starts at the current time."""
         entry = MemberEntry(
             node=settings.node,
             incarnation=clock.wall_ms(),
--- a/packages/pomelobank-node/src/pomelobank_node/_main.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_main.py
@@ -1,4 +1,4 @@
-"""The `pomelobankd` binary."""
+"""The `pomelobankd` program."""
 
 import argparse
 import asyncio
@@ -19,7 +19,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs a node; returns the exit status."""
+    """Runs a node and returns the exit status of the process."""
     options = _parser().parse_args(arguments)
     try:
         settings = build(NodeSettings, read_yaml(options.settings))
@@ -60,8 +60,8 @@
     )
     ended = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, ended.set)
     try:
         await run_until(application, ended, tune_garbage_collector)
     except OSError as error:
--- a/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_sidecar.py
@@ -1,9 +1,10 @@
-"""The node as it runs on a platform that was there before the mesh.
+"""The node as it runs on a platform that existed before the mesh.
 
-The platform publishes the configuration as one document, asks each node
-whether it is ready, and its targets announce themselves in their own words. So
-operators' calls, changes in the log, snapshots and idempotency keys are left
-out here; what differs from platform to platform comes in as ports.
+The platform publishes the configuration as one document and polls the readiness
+of each node, and its targets announce themselves in the platform's format. This
+node therefore has no operators' calls, no changes in the log, no snapshots and
+no idempotency keys. An adapter supplies the parts that differ between
+platforms.
 """
 
 import asyncio
@@ -49,44 +50,46 @@
 
 _logger = logging.getLogger(__name__)
 _MS_PER_S = 1000
-# Bytes that a line of one Mbit/s carries in a millisecond.
-_BYTES_PER_MBIT_MS = 125
-# The platform asks once a second whether callers may be sent here and stops
-# after two answers that they may not; the rest of a second is for calls that
-# are on their way.
-ROUTED_AWAY_MS = 2600
-# For the news that a stopping node's target takes no more work. Until then the
-# node goes on serving it to others: callers are sent here all that time, so the
-# process has to stay, and a target that is taken out at once stands idle. When
-# nodes are restarted one after the other, that is a third of all targets.
-NEWS_MS = 600
-# Kept from the platform's grace to end what is left in order.
-END_RESERVE_MS = 500
-# Left of the grace when the process has to be done. A stream that does not
-# close can take seconds; a process that is killed meanwhile logs nothing of its
-# end and breaks off what it was still writing.
-LAST_MOMENT_MS = 150
-# Longest wait at startup for the configuration. Callers that are already queued
-# on the listener would otherwise be refused as not ready.
-CONFIG_WAIT_MS = 1000
-# Longest wait for peers to take the last word of a node that has ended its
-# work; whoever misses it notices by its probes.
-LEAVE_MS = 200
+# Bytes per millisecond on a network link of 1 Mbit/s.
+_BYTES_PER_MS_AT_1_MBPS = 125
+# Time from the start of a stop until the platform no longer routes callers to
+# the node. The platform polls readiness once per second and stops routing after
+# two negative responses; the remaining 600 ms are for calls in transit.
+ROUTING_STOP_MS = 2600
+# Time for the update that a stopping node's target takes no more work to reach
+# all peers. The node sends this update only this long before the platform's
+# routing has stopped. The process has to run until then anyway, and a target
+# that is closed earlier is idle meanwhile: in a rolling restart, a third of all
+# targets would be idle.
+TARGET_CLOSE_UPDATE_MS = 600
+# Part of the platform's grace period that is reserved for an orderly shutdown
+# of the components.
+SHUTDOWN_RESERVE_MS = 500
+# Part of the grace period that is left when the last component has to stop. A
+# stream that does not close can take seconds. If the platform kills the process
+# meanwhile, the end is not logged and responses being written are truncated.
+PROCESS_EXIT_RESERVE_MS = 150
+# Longest wait at start-up for the configuration. Without this wait, the node
+# would reject callers that are already queued on the listener as not ready.
+MAX_CONFIG_WAIT_MS = 1000
+# Longest wait for peers to receive a stopping node's leave message. A peer that
+# misses the message detects the node's end by its probes.
+LEAVE_TIMEOUT_MS = 200
 
 
 @attrs.define(eq=False)
 class PlatformAdapter:
-    """What differs from platform to platform.
+    """The parts of a node that differ between platforms.
 
     Attributes:
-        http_conventions: Names of headers.
-        log: Where first contacts are announced.
-        source: Where configurations are published.
-        decode: Reads a published configuration.
-        new_readiness_handler: Makes the handler of the platform's question
-            whether callers may be sent to a node.
-        new_control_handler: Makes the handler of the target's announcements.
-        components: Further parts to start first and stop last.
+        http_conventions: Header names and HTTP behaviour of the platform.
+        log: Log in which nodes announce themselves as first contacts.
+        source: Source of published configurations.
+        decode: Decodes a published configuration.
+        new_readiness_handler: Creates the handler of the platform's readiness
+            polls.
+        new_control_handler: Creates the handler of the target's announcements.
+        components: Additional components, started first and stopped last.
         listener: Socket already listening for callers; None to open one.
     """
 
@@ -102,13 +105,13 @@
 
 @attrs.define(eq=False, slots=False)
 class SidecarNode:
-    """One node beside one target.
+    """A node beside one target on a platform.
 
     Attributes:
-        settings: Its settings.
-        adapter: What differs from platform to platform.
-        stopping: Whether it was told to stop.
-        started_components: Parts to stop, in the order of their start.
+        settings: The node's settings.
+        adapter: The parts that differ between platforms.
+        stopping: Whether the stop of the node has begun.
+        started_components: Components to stop, in the order of their start.
     """
 
     settings: NodeSettings
@@ -117,28 +120,28 @@
     started_components: list[Component] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        settings, ports = self.settings, self.adapter
+        settings, adapter = self.settings, self.adapter
         self.clock = SystemClock()
         identity = Identity.of(settings, self.clock)
-        self.store = PublishedStore(ports.decode)
+        self.store = PublishedStore(adapter.decode)
         self.links = PeerLinks(
             identity.hello, settings.membership.connect_limit
         )
         self.table = MemberTable(identity.entry)
         self.feed = PublishedFeed(
-            ports.source, self.store, self.table, self.links, self.clock
+            adapter.source, self.store, self.table, self.links, self.clock
         )
         self.crash_reports = CrashReports(self.table, self.links, self.clock)
         self.owner = Owner(
             settings.requests,
             self.clock,
             self.crash_reports,
-            ports.http_conventions,
+            adapter.http_conventions,
         )
         self.membership = Membership(
             self.table,
             settings.membership,
-            ports.log,
+            adapter.log,
             self.links,
             self.store,
             self.clock,
@@ -147,7 +150,7 @@
             self.owner,
             self.membership,
             self.clock,
-            DepartureLog(ports.log, settings.first_start),
+            DepartureLog(adapter.log, settings.first_start),
             TargetLease(settings.membership.target_lease_ms),
             int(min(REJECT_AFTER_MS, settings.target.drain_ms / 2)),
         )
@@ -155,19 +158,19 @@
         self._build_servers()
 
     def _build_request_path(self) -> None:
-        settings, dialect = self.settings, self.adapter.http_conventions
+        settings, conventions = self.settings, self.adapter.http_conventions
         self.forwarder = Forwarder(
             self.table,
             self.owner,
             self.links,
             self.clock,
             new_load_balancer(settings.requests),
-            retry_header=dialect.retry,
+            retry_header=conventions.retry,
             retries=RetryPolicy(
                 new_budget=self._new_budget, free_rejections=True
             ),
             hedging=Hedging(),
-            uplink_bytes_per_ms=settings.line_mbps * _BYTES_PER_MBIT_MS
+            uplink_bytes_per_ms=settings.line_mbps * _BYTES_PER_MS_AT_1_MBPS
             or math.inf,
         )
         self.dispatcher = Dispatcher(
@@ -184,7 +187,7 @@
             self.dispatcher.shutdown_admission,
         )
         self.ingress = Ingress(
-            self.dispatcher, self.clock, dialect, settings.target.upstream
+            self.dispatcher, self.clock, conventions, settings.target.upstream
         )
 
     def _new_budget(self) -> MeshRetryBudget:
@@ -197,62 +200,64 @@
         )
 
     def _build_servers(self) -> None:
-        listen, ports = self.settings.listen, self.adapter
+        listen, adapter = self.settings.listen, self.adapter
         self.http = CallerServer(
             listen.http,
             self.ingress,
-            ports.http_conventions,
+            adapter.http_conventions,
             auto_check_timeouts=False,
-            listener=ports.listener,
+            listener=adapter.listener,
         )
         self.readiness_server = CallerServer(
             listen.ready,
-            ports.new_readiness_handler(self),
+            adapter.new_readiness_handler(self),
             auto_check_timeouts=False,
         )
         self.control_server = CallerServer(
             listen.control,
-            ports.new_control_handler(self),
+            adapter.new_control_handler(self),
             auto_check_timeouts=False,
         )
         self.peers = PeerServer(
             listen.peer, self.owner, self.membership, self.feed, None
         )
         self.limits = LimitsWatch(self.store, self.http)
-        self.membership.on_tick += [self.feed.tick, self._sweep]
+        self.membership.on_tick += [self.feed.tick, self._check_timeouts]
 
-    def _sweep(self, _: int) -> None:
+    def _check_timeouts(self, _: int) -> None:
         for server in (self.http, self.readiness_server, self.control_server):
             server.check_timeouts()
 
     async def serve_metrics(self, output: BoundedOutput) -> None:
-        """Serves the metrics, where the settings name an address for them."""
+        """Serves the metrics if the settings contain an address for them."""
         if self.settings.listen.metrics:
-            page = MetricsHandler(self, output)
-            await self._start(CallerServer(self.settings.listen.metrics, page))
+            handler = MetricsHandler(self, output)
+            await self._start(
+                CallerServer(self.settings.listen.metrics, handler)
+            )
 
     @property
     def log(self) -> Log:
-        """Where first contacts are announced."""
+        """Log in which nodes announce themselves as first contacts."""
         return self.adapter.log
 
     @property
     def accepts_callers(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether the platform may route callers to this node."""
         return self.store.ready and not self.stopping
 
     async def start(self) -> None:
-        """Starts every part; the first requests are taken at the end."""
-        for part in (
+        """Starts all components; the server for callers starts last."""
+        for component in (
             *self.adapter.components,
             self.links,
             self.crash_reports,
             self.peers,
         ):
-            await self._start(part)
+            await self._start(component)
         advertised = self.settings.listen.peer_advertised
         self.table.update_own(peer_address=advertised or self.peers.address)
-        for part in (
+        for component in (
             self.target,
             self.control_server,
             self.feed,
@@ -260,7 +265,7 @@
             self.limits,
             self.readiness_server,
         ):
-            await self._start(part)
+            await self._start(component)
         if self.adapter.listener is not None:
             await self._wait_for_config()
         await self._start(self.http)
@@ -277,73 +282,85 @@
 
     async def _wait_for_config(self) -> None:
         try:
-            async with asyncio.timeout(CONFIG_WAIT_MS / _MS_PER_S):
+            async with asyncio.timeout(MAX_CONFIG_WAIT_MS / _MS_PER_S):
                 while not self.store.ready:
                     await self.store.changed.wait()
         except TimeoutError:
             _logger.info("node.config_wait_timed_out")
 
-    async def _start(self, part: Component) -> None:
-        await part.start()
-        self.started_components.append(part)
+    async def _start(self, component: Component) -> None:
+        await component.start()
+        self.started_components.append(component)
 
     def apply_settings(self, settings: NodeSettings) -> None:
-        """Takes over what may change while the node runs."""
+        """Applies the settings that may change while the node runs."""
         self.settings = settings
         self.ingress.origin = settings.target.upstream
 
     async def stop(self) -> None:
-        """Drains, then stops every part without cutting a request off.
+        """Drains the node, then stops all components.
 
-        First the platform hears that callers should go elsewhere, and shortly
-        before that has taken effect peers are told to send no more work. Only
-        then do connections end, each after the answers under way.
+        The node first reports to the platform that it is not ready. Shortly
+        before the platform stops routing callers to it, the node tells its
+        peers to send no more work. Connections close only afterwards, each once
+        its pending responses are written, so that no request that ends within
+        the grace period is cut off.
         """
-        begun_ms = self.clock.now_ms()
+        stop_started_ms = self.clock.now_ms()
         grace_ms = int(self.settings.stop.grace_s * _MS_PER_S)
-        end_ms = begun_ms + grace_ms - END_RESERVE_MS
+        end_ms = stop_started_ms + grace_ms - SHUTDOWN_RESERVE_MS
         self.stopping = True
-        _logger.info("node.draining", extra=self._under_way())
-        # A short grace has to leave time for the requests under way as well.
-        routed_ms = min(ROUTED_AWAY_MS, grace_ms // 2)
-        news_ms = min(NEWS_MS, routed_ms // 4)
-        await self._sleep_until(begun_ms + routed_ms - news_ms)
-        await self.stop_delay.wait(begun_ms + routed_ms, end_ms, news_ms)
+        _logger.info("node.draining", extra=self._work_in_progress())
+        # A short grace period must also leave time for the requests under way.
+        routing_stop_ms = min(ROUTING_STOP_MS, grace_ms // 2)
+        close_update_ms = min(TARGET_CLOSE_UPDATE_MS, routing_stop_ms // 4)
+        await self._sleep_until(
+            stop_started_ms + routing_stop_ms - close_update_ms
+        )
+        await self.stop_delay.wait(
+            stop_started_ms + routing_stop_ms, end_ms, close_update_ms
+        )
         closed_ms = self.clock.now_ms()
         await self.target.close()
-        await self._sleep_until(max(begun_ms + routed_ms, closed_ms + news_ms))
+        await self._sleep_until(
+            max(stop_started_ms + routing_stop_ms, closed_ms + close_update_ms)
+        )
         self.dispatcher.shutdown_admission.shutdown_at_ms = end_ms
         self.http.drain()
         await self._wait_for_requests(end_ms)
-        _logger.info("node.drained", extra=self._under_way())
+        _logger.info("node.drained", extra=self._work_in_progress())
         await self._leave()
-        # Somebody may come after the last answer, and has the rest of the grace
-        # like those before: cut off sooner, an order's caller would not know
-        # whether it has run.
-        # Past the end, what hangs is told so while that can still leave.
+        # A request may still arrive after the last response. This request gets
+        # the rest of the grace period like the earlier ones, because the caller
+        # of a non-idempotent request that is cut off does not know whether the
+        # request has run. At `end_ms`, callers of unfinished requests receive
+        # an error response while there is time left to send it.
         self.http.stop_timeout_ms = max(0, end_ms - self.clock.now_ms())
-        await self._stop_parts(begun_ms + grace_ms - LAST_MOMENT_MS)
+        await self._stop_components(
+            stop_started_ms + grace_ms - PROCESS_EXIT_RESERVE_MS
+        )
         _logger.info("node.stopped")
 
-    async def _stop_parts(self, until_ms: int) -> None:
-        for part in reversed(self.started_components):
-            left_ms = max(0, until_ms - self.clock.now_ms())
+    async def _stop_components(self, until_ms: int) -> None:
+        for component in reversed(self.started_components):
+            remaining_ms = max(0, until_ms - self.clock.now_ms())
             try:
-                async with asyncio.timeout(left_ms / _MS_PER_S):
-                    await part.stop()
+                async with asyncio.timeout(remaining_ms / _MS_PER_S):
+                    await component.stop()
             except TimeoutError:
                 _logger.warning(
-                    "node.part_cut_off", extra={"part": type(part).__name__}
+                    "node.part_cut_off",
+                    extra={"part": type(component).__name__},
                 )
 
     async def _leave(self) -> None:
         try:
-            async with asyncio.timeout(LEAVE_MS / _MS_PER_S):
+            async with asyncio.timeout(LEAVE_TIMEOUT_MS / _MS_PER_S):
                 await self.membership.leave()
         except TimeoutError:
             _logger.info("node.left_unheard")
 
-    def _under_way(self) -> dict[str, int]:
+    def _work_in_progress(self) -> dict[str, int]:
         return {
             "connections": len(self.http.connections),
             "requests": self.http.in_flight,
@@ -351,8 +368,8 @@
         }
 
     async def _sleep_until(self, at_ms: int) -> None:
-        left_ms = at_ms - self.clock.now_ms()
-        await asyncio.sleep(max(0, left_ms) / _MS_PER_S)
+        remaining_ms = at_ms - self.clock.now_ms()
+        await asyncio.sleep(max(0, remaining_ms) / _MS_PER_S)
 
     async def _wait_for_requests(self, until_ms: int) -> None:
         while self.clock.now_ms() < until_ms:
@@ -366,11 +383,12 @@
 
 @attrs.define(eq=False)
 class LimitsWatch:
-    """Keeps what callers may send in step with the configuration.
+    """Updates a server's limits when the configuration changes.
 
     Attributes:
-        store: The configuration.
-        server: Whose limits they are.
+        store: Holds the configuration in force.
+        server: Server to which the limits apply.
+        task: Waits for new configurations; None before the start.
     """
 
     store: PublishedStore
@@ -378,11 +396,11 @@
     task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begins to follow the configuration."""
+        """Starts the task that waits for new configurations."""
         self.task = asyncio.create_task(self._follow())
 
     async def stop(self) -> None:
-        """Ends that."""
+        """Cancels the task."""
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
--- a/packages/pomelobank-node/src/pomelobank_node/platform_api.py
+++ b/packages/pomelobank-node/src/pomelobank_node/platform_api.py
@@ -1,4 +1,4 @@
-"""The parts from which a node is assembled on another platform."""
+"""The interface for assembling a node on another platform."""
 
 from pomelobank_node._event_loop import run_program, tune_garbage_collector
 from pomelobank_node._http_conventions import HttpConventions
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_event_loop.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_event_loop.py
@@ -11,44 +11,48 @@
     run_program,
 )
 
-TURNS = 160
+ITERATIONS = 160
 
 
-async def turn(count: int) -> None:
+async def yield_to_loop(count: int) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-def test_ready_callbacks_run_without_asking_the_kernel(
+def test_most_polls_are_skipped_while_callbacks_are_ready(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a system call in each turn of the loop."""
-    asked = 0
+    """Guards against a poll system call in each iteration of the loop."""
+    polls = 0
     select = selectors.DefaultSelector.select
 
-    def counted(
+    def counting_select(
         self: PollSkippingSelector, timeout: float | None = None
     ) -> object:
-        nonlocal asked
-        asked += 1
+        nonlocal polls
+        polls += 1
         return select(self, timeout)
 
-    monkeypatch.setattr(selectors.DefaultSelector, "select", counted)
-    run_program(turn(TURNS))
-    assert asked <= 2 * TURNS / MAX_SKIPPED_POLLS
+    monkeypatch.setattr(selectors.DefaultSelector, "select", counting_select)
+    run_program(yield_to_loop(ITERATIONS))
+    assert polls <= 2 * ITERATIONS / MAX_SKIPPED_POLLS
 
 
-def test_events_come_in_while_callbacks_are_always_ready() -> None:
-    """Guards against work that keeps the loop from ever reading a socket."""
+def test_sockets_are_read_while_callbacks_are_always_ready() -> None:
+    """Guards against ready callbacks that starve I/O.
 
-    async def answered() -> bytes:
+    A loop that skips every poll while callbacks are ready would never read a
+    socket again.
+    """
+
+    async def echo_over_busy_loop() -> bytes:
         async def echo(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(await reader.readexactly(2))
 
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
-        busy = asyncio.create_task(turn(1_000_000_000))
+        busy = asyncio.create_task(yield_to_loop(1_000_000_000))
         address = server.sockets[0].getsockname()
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"ok")
@@ -59,4 +63,4 @@
         server.close()
         return data
 
-    assert run_program(answered()) == b"ok"
+    assert run_program(echo_over_busy_loop()) == b"ok"
