--- a/packages/pomelobank-node/src/pomelobank_node/_admin.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_admin.py
@@ -1,4 +1,4 @@
-"""The node's own pages and its target's announcements."""
+"""The admin API: node health, target announcements and target drain."""
 
 import json
 import logging
@@ -21,18 +21,19 @@
 _OK = 200
 _BAD_REQUEST = 400
 _UNAVAILABLE = 503
-# An announcement is a few short fields.
+# Upper bound of an announcement's body; an announcement has a few short fields.
 _MAX_ANNOUNCEMENT_BYTES = 4096
 
 
 @attrs.define(eq=False)
 class AdminApi:
-    """Pages for the platform and for the target beside the node.
+    """HTTP endpoints for the platform and for the target beside the node.
 
     Attributes:
-        target: Follows the target.
-        store: Tells whether the node may serve callers.
-        bad_announcements: Announcements that were refused, for the metrics.
+        target: Applies announcements and drains to the node's own target.
+        store: Holds the configuration version and whether the node may serve.
+        bad_announcements: Number of announcements rejected as invalid, for the
+            metrics.
     """
 
     target: TargetWatch
@@ -40,7 +41,7 @@
     bad_announcements: int = 0
 
     def application(self) -> Starlette:
-        """Returns the ASGI application of these pages."""
+        """Returns the ASGI application that serves the endpoints."""
         return Starlette(
             routes=[
                 Route("/v1/target", self.announce, methods=["POST"]),
@@ -50,7 +51,7 @@
         )
 
     async def health(self, _: Request) -> Response:
-        """Answers 200 while the node takes callers' requests, 503 otherwise."""
+        """Responds with 200 while the node may serve callers, 503 otherwise."""
         own = self.target.membership.table.own
         document = {
             "state": own.state,
@@ -61,20 +62,21 @@
         return JSONResponse(document, status)
 
     async def announce(self, request: Request) -> Response:
-        """Takes an announcement of the target."""
+        """Applies an announcement that the target sent."""
         try:
             announcement = parse_announcement(await request.body())
         except SchemaError as error:
             self.bad_announcements += 1
-            return JSONResponse(_problem(error), _BAD_REQUEST)
+            return JSONResponse(_error_document(error), _BAD_REQUEST)
         await self.target.handle_announcement(announcement)
         return self._state()
 
     async def drain(self, _: Request) -> Response:
         """Takes the target out of the mesh.
 
-        It is out also where the answer is 503; that says only that a restart of
-        the node may undo it, so the operator asks again.
+        The target is drained even if the response is 503. That status means
+        that the drain could not be recorded in the log, so a restart of the
+        node may undo it; the operator should send the request again.
         """
         try:
             await self.target.drain()
@@ -93,7 +95,7 @@
 
 
 def parse_announcement(body: bytes) -> TargetAnnouncement:
-    """Returns the announcement in a request's body.
+    """Parses the announcement in a request's body.
 
     Raises:
         SchemaError: If the body is too large, not JSON, or one of its fields
@@ -101,18 +103,20 @@
     """
     if len(body) > _MAX_ANNOUNCEMENT_BYTES:
         raise SchemaError(
-            SchemaErrorKind.OUT_OF_RANGE, "", "the announcement is too large"
+            SchemaErrorKind.OUT_OF_RANGE,
+            "",
+            f"announcement is longer than {_MAX_ANNOUNCEMENT_BYTES} bytes",
         )
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
         raise SchemaError(
-            SchemaErrorKind.MALFORMED, "", "the announcement is not JSON"
+            SchemaErrorKind.MALFORMED, "", "announcement is not valid JSON"
         ) from None
     return build(TargetAnnouncement, document)
 
 
-def _problem(error: SchemaError) -> Mapping[str, str]:
+def _error_document(error: SchemaError) -> Mapping[str, str]:
     return {
         "error": error.kind.value,
         "field": error.field_path,
--- a/packages/pomelobank-node/src/pomelobank_node/_instruments.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_instruments.py
@@ -1,4 +1,4 @@
-"""The list of the node's metrics."""
+"""Definitions of the node's metrics."""
 
 from pomelobank_node._metrics import Instrument
 
@@ -340,5 +340,5 @@
     if isinstance(value, Instrument)
 )
 
-# Those of a node whose configuration the platform publishes.
+# Metrics of only those nodes whose configuration is published by a platform.
 SIDECAR_ONLY = (SOURCE_UP, SOURCE_READS, OUTPUT_DROPPED)
--- a/packages/pomelobank-node/src/pomelobank_node/_log_output.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log_output.py
@@ -1,4 +1,4 @@
-"""Standard output that never holds the node up."""
+"""Log output that never blocks the event loop."""
 
 import os
 import select
@@ -6,25 +6,29 @@
 
 import attrs
 
-# A pipe takes this many bytes whole once it says that it can be written to; a
-# longer write could wait for its reader.
-_WHOLE_BYTES = 4096
-# Lines that wait for a reader: some seconds of an incident, and half a MB.
+# A pipe that polls as writable accepts this many bytes at once; a longer
+# write could block until the reader drains the pipe.
+_MAX_NON_BLOCKING_WRITE_BYTES = 4096
+# Chunks buffered while the reader is slow: a few seconds of log lines during an
+# incident, or half a MB.
 MAX_BUFFERED_CHUNKS = 2000
 
 
 @attrs.define(eq=False)
 class BoundedOutput:
-    """Writes lines as the reader takes them; drops and counts the rest.
+    """Writes to a file descriptor without blocking; drops lines if it must.
 
-    Made for a collector of logs that stands still. A plain write waits for it
-    and with it every request; one notices by a node that answers nobody while
-    its process looks healthy.
+    If the log collector stops reading, a blocking write stops the event loop
+    and all requests: the node sends no responses while its process looks
+    healthy. This class writes only as much as the reader accepts, buffers a
+    limited number of chunks, and drops and counts lines beyond that limit.
 
     Attributes:
-        descriptor: Where lines go.
-        buffered: Lines that were not written yet, the oldest first.
-        dropped: Lines that found no room, for the metrics.
+        descriptor: File descriptor to write to.
+        buffered: Chunks not written yet, the oldest first.
+        dropped: Number of lines dropped because the buffer was full and of
+            chunks dropped because the write failed, for the metrics.
+        poll: Reports whether the descriptor is writable.
     """
 
     descriptor: int
@@ -37,24 +41,27 @@
         self.poll.register(self.descriptor, select.POLLOUT)
 
     def write(self, text: str) -> int:
-        """Takes a line, or a part of one."""
+        """Buffers a line, or a part of a line, and writes it if possible."""
         data = text.encode(errors="replace")
-        parts = range(0, len(data), _WHOLE_BYTES)
-        if len(self.buffered) + len(parts) > MAX_BUFFERED_CHUNKS:
+        chunk_starts = range(0, len(data), _MAX_NON_BLOCKING_WRITE_BYTES)
+        if len(self.buffered) + len(chunk_starts) > MAX_BUFFERED_CHUNKS:
             self.dropped += 1
             return len(text)
-        for at in parts:
-            self.buffered.append(data[at : at + _WHOLE_BYTES])
+        for start in chunk_starts:
+            self.buffered.append(
+                data[start : start + _MAX_NON_BLOCKING_WRITE_BYTES]
+            )
         self.flush()
         return len(text)
 
     def flush(self) -> None:
-        """Writes what the reader takes without a wait."""
+        """Writes as many buffered chunks as possible without blocking."""
         while self.buffered and self._is_writable():
             try:
                 os.write(self.descriptor, self.buffered[0])
             except OSError:
-                # Nobody reads any more, and there is nowhere to say so.
+                # The reader closed its end. The error cannot be logged, because
+                # this descriptor is the log.
                 self.dropped += len(self.buffered)
                 self.buffered.clear()
                 return
--- a/packages/pomelobank-node/src/pomelobank_node/_log_rate_limiter.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log_rate_limiter.py
@@ -1,30 +1,31 @@
-"""Bounds how many lines about requests a node writes."""
+"""Limits the rate of log lines about requests."""
 
 import attrs
 
-# Lines a second. At 79 us a line (20,000 lines in a loop, a busy machine) the
-# bounds of the entry and of the owner in one process cost 1.7% of a core
-# together, whatever the load.
-MAX_SUCCESSES_PER_S = 10
-MAX_FAILURES_PER_S = 100
+# At 79 us per line (20,000 lines in a loop on a busy machine), the lines that
+# the limiters of the entry and of the owner in one process allow cost at most
+# 1.7% of a core together, regardless of the load.
+MAX_SUCCESS_LINES_PER_S = 10
+MAX_FAILURE_LINES_PER_S = 100
 _MS_PER_S = 1000
 
 
 @attrs.define
 class LogRateLimiter:
-    """Decides which requests get a line.
+    """Decides which requests get a log line.
 
-    Made for an overload: with a line for each of thousands of refusals a
-    second, writing them would take the core that requests need. Failures are
-    told up to a bound that a calm day never meets, successes are sampled, and
-    what was left out is counted in the next line.
+    During an overload, a node rejects thousands of requests per second; a line
+    for each rejection would take the CPU time that other requests need. The
+    limiter therefore samples successes and allows failures up to a limit that
+    normal operation does not reach. The next line about a failure reports how
+    many failures were left out.
 
     Attributes:
-        second: The second that is being counted.
-        successes: Lines about successes in it.
-        failures: Lines about failures in it.
-        dropped: Failures without a line since the last one that was told.
-        dropped_total: Failures without a line, for the metrics.
+        second: The second to which `successes` and `failures` refer.
+        successes: Successes in this second, with or without a line.
+        failures: Failures in this second, with or without a line.
+        dropped: Failures without a line since the last `pop_dropped` call.
+        dropped_total: Failures without a line since the start, for the metrics.
     """
 
     second: int = 0
@@ -34,27 +35,27 @@
     dropped_total: int = 0
 
     def allow_success(self, now_ms: int) -> bool:
-        """Tells whether a success gets a line."""
-        self._turn(now_ms)
+        """Returns whether a successful request gets a line."""
+        self._reset_if_new_second(now_ms)
         self.successes += 1
-        return self.successes <= MAX_SUCCESSES_PER_S
+        return self.successes <= MAX_SUCCESS_LINES_PER_S
 
     def allow_failure(self, now_ms: int) -> bool:
-        """Tells whether a failure gets a line; counts it where not."""
-        self._turn(now_ms)
+        """Returns whether a failed request gets a line; if not, counts it."""
+        self._reset_if_new_second(now_ms)
         self.failures += 1
-        if self.failures <= MAX_FAILURES_PER_S:
+        if self.failures <= MAX_FAILURE_LINES_PER_S:
             return True
         self.dropped += 1
         self.dropped_total += 1
         return False
 
     def pop_dropped(self) -> int:
-        """Returns the failures left out since the last call."""
+        """Returns and resets the number of failures without a line."""
         dropped, self.dropped = self.dropped, 0
         return dropped
 
-    def _turn(self, now_ms: int) -> None:
+    def _reset_if_new_second(self, now_ms: int) -> None:
         second = now_ms // _MS_PER_S
         if second != self.second:
             self.second, self.successes, self.failures = second, 0, 0
--- a/packages/pomelobank-node/src/pomelobank_node/_logging.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_logging.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard output."""
+"""Structured logs on standard output, one JSON object per line."""
 
 import contextvars
 import logging
@@ -15,7 +15,7 @@
 
 
 class _ContextFilter(logging.Filter):
-    """Adds what every line carries: node, data centre, request, version."""
+    """Adds node, data centre, request id and configuration version."""
 
     def __init__(
         self, node: str, data_centre: str, version: Callable[[], int]
@@ -26,7 +26,7 @@
         self.version = version
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Adds the fields and keeps every record."""
+        """Adds the fields to a record; never drops a record."""
         record.node = self.node
         record.data_centre = self.data_centre
         record.request_id = request_id.get()
@@ -37,16 +37,16 @@
 def set_up_logging(
     level: str, node: str, data_centre: str, version: Callable[[], int]
 ) -> BoundedOutput:
-    """Sends all logs of the process to standard output as JSON.
+    """Writes all log records of the process to standard output as JSON.
 
     Args:
-        level: Least severe level that is written.
+        level: Lowest level that is written.
         node: The node's id.
         data_centre: The node's data centre.
-        version: Tells the configuration version in force.
+        version: Returns the configuration version in force.
 
     Returns:
-        Where the lines go.
+        The output, which counts dropped lines.
     """
     output = BoundedOutput(sys.stdout.fileno())
     handler = logging.StreamHandler(output)
--- a/packages/pomelobank-node/src/pomelobank_node/_metrics.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_metrics.py
@@ -1,7 +1,8 @@
-"""Metrics of a node, by OpenTelemetry, read over HTTP.
+"""Metrics of a node, collected with OpenTelemetry and read over HTTP.
 
-Parts of the node count in plain attributes, which cost a request nothing but
-an addition; the instruments here read them when the metrics page is asked for.
+The node's components count in plain attributes, which costs a request one
+addition per counter. The instruments read these attributes when a client
+requests the metrics page.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -28,11 +29,12 @@
     """One metric.
 
     Attributes:
-        name: Its name in OpenTelemetry; the page shows it with underscores.
-        unit: Unit of its values.
-        description: What it counts, one sentence.
-        label: Name of the label by which it is split; empty where it is not.
-        monotonic: Whether it only grows.
+        name: Name in OpenTelemetry; the metrics page replaces dots with
+            underscores.
+        unit: Unit of the values.
+        description: One sentence on what the values count.
+        label: Name of the metric's own label; empty if the metric has none.
+        monotonic: Whether the values only grow, as those of a counter do.
     """
 
     name: str
@@ -44,45 +46,45 @@
 
 @attrs.define(eq=False)
 class Metrics:
-    """The node's meter and the page that shows it.
+    """The node's instruments and the page that exposes them.
 
     Attributes:
         node: The node's id, a label of every metric.
-        data_centre: The node's data centre, likewise.
-        provider: OpenTelemetry's provider, once started.
-        readers: What to read for each instrument.
+        data_centre: The node's data centre, also a label of every metric.
+        provider: OpenTelemetry's meter provider; None before the start.
+        observed: Each instrument with the callback that reads its value.
     """
 
     node: str
     data_centre: str
     provider: MeterProvider | None = None
-    readers: list[tuple[Instrument, ValueCallback]] = attrs.field(factory=list)
+    observed: list[tuple[Instrument, ValueCallback]] = attrs.field(factory=list)
 
     def observe(self, instrument: Instrument, read: ValueCallback) -> None:
-        """Adds an instrument; only before the start."""
-        self.readers.append((instrument, read))
+        """Adds an instrument; must be called before `start`."""
+        self.observed.append((instrument, read))
 
     async def start(self) -> None:
-        """Registers every instrument."""
+        """Registers all instruments with OpenTelemetry."""
         self.provider = MeterProvider(
             metric_readers=[PrometheusMetricReader()],
             resource=Resource.create({"service.name": "pomelobankd"}),
         )
         meter = self.provider.get_meter("pomelobank")
-        for instrument, read in self.readers:
+        for instrument, read in self.observed:
             self._register(meter, instrument, read)
 
     def _register(
         self, meter: Meter, instrument: Instrument, read: ValueCallback
     ) -> None:
-        common = {"node": self.node, "data_centre": self.data_centre}
+        common_labels = {"node": self.node, "data_centre": self.data_centre}
 
         def callback(_: CallbackOptions) -> Iterable[Observation]:
             reading = read()
             if not isinstance(reading, Mapping):
-                return [Observation(reading, common)]
+                return [Observation(reading, common_labels)]
             return [
-                Observation(value, {**common, instrument.label: key})
+                Observation(value, {**common_labels, instrument.label: key})
                 for key, value in reading.items()
             ]
 
@@ -99,17 +101,18 @@
         )
 
     async def stop(self) -> None:
-        """Ends the provider."""
+        """Shuts the meter provider down."""
         if self.provider is not None:
             self.provider.shutdown()
 
     def text(self) -> bytes:
-        """Returns every metric in the Prometheus text format."""
+        """Returns all metrics in the Prometheus text format."""
         return generate_latest(REGISTRY)
 
     async def handle_request(self, _: "Request") -> "Response":
-        """Answers with every metric in the Prometheus text format."""
-        # A node whose pages another server serves does without this library.
+        """Responds with all metrics in the Prometheus text format."""
+        # The import is local because a node that serves its metrics through
+        # `MetricsHandler` does not need Starlette.
         from starlette.responses import Response
 
         return Response(self.text(), media_type=CONTENT_TYPE_LATEST)
--- a/packages/pomelobank-node/src/pomelobank_node/_metrics_handler.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_metrics_handler.py
@@ -1,4 +1,4 @@
-"""Serves the metrics of a node without loading their libraries before."""
+"""Serves a node's metrics and imports the metrics libraries on demand."""
 
 from __future__ import annotations
 
@@ -13,20 +13,22 @@
     from pomelobank_node._metrics import Metrics
     from pomelobank_node._observations import ObservedSidecar
 
-_CONTENT = ((b"content-type", b"text/plain; version=0.0.4; charset=utf-8"),)
+_CONTENT_HEADERS = (
+    (b"content-type", b"text/plain; version=0.0.4; charset=utf-8"),
+)
 
 
 @attrs.define(eq=False)
 class MetricsHandler:
-    """Answers with every metric.
+    """Responds to each request with all metrics.
 
-    The metrics' libraries take 16 MB; on most nodes nobody ever asks, so they
-    are loaded with the first question.
+    The metrics libraries take 16 MB of memory, and most nodes never receive a
+    request for metrics. The first request therefore imports the libraries.
 
     Attributes:
-        node: Whose metrics they are.
-        output: Where the node's lines go.
-        metrics: The metrics, once somebody has asked.
+        node: The node whose metrics are served.
+        output: The log output, which counts dropped lines.
+        metrics: The metrics; None before the first request.
     """
 
     node: ObservedSidecar
@@ -34,10 +36,10 @@
     metrics: Metrics | None = None
 
     async def __call__(self, _: HttpRequest) -> HttpResponse:
-        """Answers one request."""
+        """Responds to one request."""
         if self.metrics is None:
             self.metrics = await self._load()
-        return HttpResponse(200, _CONTENT, self.metrics.text())
+        return HttpResponse(200, _CONTENT_HEADERS, self.metrics.text())
 
     async def _load(self) -> Metrics:
         from pomelobank_node._metrics import Metrics
--- a/packages/pomelobank-node/src/pomelobank_node/_observations.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_observations.py
@@ -1,4 +1,4 @@
-"""Connects the list of metrics to the parts of a node."""
+"""Connects the metric definitions to the components of a node."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from pomelobank_core import TwoChoices
-from pomelobank_node import _instruments as listed
+from pomelobank_node import _instruments as instruments
 from pomelobank_node._metrics import Instrument, Metrics, ValueCallback
 
 if TYPE_CHECKING:
@@ -33,107 +33,108 @@
 
 
 class ObservedNode(Protocol):
-    """The parts that every node has, however it is assembled."""
+    """The components that every kind of node has."""
 
     @property
     def table(self) -> MemberTable:
-        """The members."""
+        """Membership table of the mesh."""
 
     @property
     def membership(self) -> Membership:
-        """What watches them."""
+        """Detects failures and updates the membership table."""
 
     @property
     def links(self) -> PeerLinks:
-        """Streams to peers."""
+        """Outgoing streams to peers."""
 
     @property
     def peers(self) -> PeerServer:
-        """Streams of peers."""
+        """Incoming streams from peers."""
 
     @property
     def owner(self) -> Owner:
-        """The own target's owner."""
+        """Runs requests on the node's own target."""
 
     @property
     def target(self) -> TargetWatch:
-        """The own target's state."""
+        """Tracks the state of the node's own target."""
 
     @property
     def forwarder(self) -> Forwarder:
-        """What places requests."""
+        """Chooses targets and forwards requests to them."""
 
     @property
     def ingress(self) -> Ingress:
-        """What answers callers."""
+        """Serves callers' requests."""
 
     @property
     def crash_reports(self) -> CrashReports:
-        """Requests that crash targets."""
+        """Quarantines requests that crash targets."""
 
 
 class ObservedSidecar(ObservedNode, Protocol):
-    """The parts of a node on a platform."""
+    """The components of a node on a platform."""
 
     @property
     def settings(self) -> NodeSettings:
-        """Its settings."""
+        """The node's settings."""
 
     @property
     def store(self) -> PublishedStore:
-        """The configuration."""
+        """Holds the configuration in force."""
 
     @property
     def feed(self) -> PublishedFeed:
-        """What keeps it up to date."""
+        """Reads published configurations into the store."""
 
     @property
     def log(self) -> Log:
-        """Where first contacts are announced."""
+        """Log in which nodes announce themselves as first contacts."""
 
 
 class ObservedApplication(ObservedNode, Protocol):
-    """The parts of a node with the product's own log."""
+    """The components of a node that uses the product's own log."""
 
     @property
     def store(self) -> ConfigStore:
-        """The configuration."""
+        """Holds the configuration in force."""
 
     @property
     def feed(self) -> ConfigFeed:
-        """What keeps it up to date."""
+        """Reads configuration changes into the store."""
 
     @property
     def log(self) -> LogClient:
-        """The log."""
+        """Client of the log."""
 
     @property
     def clock(self) -> Clock:
-        """Tells the time."""
+        """Provides the current time."""
 
     @property
     def claims(self) -> ClaimService:
-        """Idempotency keys."""
+        """Handles requests with an idempotency key."""
 
     @property
     def admin_api(self) -> AdminApi:
-        """The target's announcements."""
+        """Receives the target's announcements."""
 
 
 def peer_bytes(node: ObservedNode) -> int:
-    """Returns the bytes sent to peers so far."""
+    """Returns the bytes sent to peers since the start."""
     return node.links.bytes_sent + node.peers.bytes_sent
 
 
 def observe_sidecar(
-    metrics: Metrics, node: ObservedSidecar, unwritten: ValueCallback
+    metrics: Metrics, node: ObservedSidecar, dropped_lines: ValueCallback
 ) -> None:
-    """Adds every metric of a node on a platform.
+    """Adds all metrics of a node on a platform.
 
     Args:
-        metrics: Takes the instruments; not started yet.
-        node: Whose parts are read.
-        unwritten: Tells the lines that nobody read.
+        metrics: Registry to add the metrics to; must not be started yet.
+        node: The node whose components are read.
+        dropped_lines: Returns the number of log lines that were dropped because
+            the output was blocked.
     """
     for readings in (
         _published(node),
@@ -141,31 +142,31 @@
         _members(node),
         _target(node),
         _requests(node),
-        _placing(node),
+        _load_balancing(node),
         _quarantine(node),
     ):
         for instrument, read in readings:
             metrics.observe(instrument, read)
-    metrics.observe(listed.OUTPUT_DROPPED, unwritten)
+    metrics.observe(instruments.OUTPUT_DROPPED, dropped_lines)
 
 
 def _published(node: ObservedSidecar) -> Readings:
     store, feed = node.store, node.feed
-    yield listed.CONFIG_VERSION, lambda: store.version
-    yield listed.CONFIG_READY, lambda: int(store.ready)
-    yield listed.CONFIG_APPLIED, lambda: store.applied
-    yield listed.CONFIG_UNREADABLE, lambda: store.unreadable
-    yield listed.CONFIG_READER, lambda: int(feed.is_reader())
-    yield listed.SOURCE_UP, lambda: int(feed.source_up)
-    yield listed.SOURCE_READS, lambda: feed.reads
+    yield instruments.CONFIG_VERSION, lambda: store.version
+    yield instruments.CONFIG_READY, lambda: int(store.ready)
+    yield instruments.CONFIG_APPLIED, lambda: store.applied
+    yield instruments.CONFIG_UNREADABLE, lambda: store.unreadable
+    yield instruments.CONFIG_READER, lambda: int(feed.is_reader())
+    yield instruments.SOURCE_UP, lambda: int(feed.source_up)
+    yield instruments.SOURCE_READS, lambda: feed.reads
 
 
 def observe_node(metrics: Metrics, node: ObservedApplication) -> None:
-    """Adds every metric of a node.
+    """Adds all metrics of a node that uses the product's own log.
 
     Args:
-        metrics: Takes the instruments; not started yet.
-        node: Whose parts are read.
+        metrics: Registry to add the metrics to; must not be started yet.
+        node: The node whose components are read.
     """
     for readings in (
         _configuration(node),
@@ -174,122 +175,124 @@
         _members(node),
         _target(node),
         _requests(node),
-        _placing(node),
+        _load_balancing(node),
         _quarantine(node),
         _claims(node),
     ):
         for instrument, read in readings:
             metrics.observe(instrument, read)
-    pages = node.admin_api
-    metrics.observe(listed.BAD_ANNOUNCEMENTS, lambda: pages.bad_announcements)
+    admin_api = node.admin_api
+    metrics.observe(
+        instruments.BAD_ANNOUNCEMENTS, lambda: admin_api.bad_announcements
+    )
 
 
 def _configuration(node: ObservedApplication) -> Readings:
     store = node.store
-    yield listed.CONFIG_VERSION, lambda: store.version
-    yield listed.CONFIG_BLOCKED, lambda: int(store.blocked)
-    yield listed.CONFIG_READY, lambda: int(store.ready)
-    yield listed.CONFIG_APPLIED, lambda: store.applied
-    yield listed.CONFIG_UNREADABLE, lambda: store.unreadable
+    yield instruments.CONFIG_VERSION, lambda: store.version
+    yield instruments.CONFIG_BLOCKED, lambda: int(store.blocked)
+    yield instruments.CONFIG_READY, lambda: int(store.ready)
+    yield instruments.CONFIG_APPLIED, lambda: store.applied
+    yield instruments.CONFIG_UNREADABLE, lambda: store.unreadable
 
 
 def _distribution(node: ObservedApplication) -> Readings:
     feed, clock = node.feed, node.clock
     plan = feed.distribution
-    yield listed.CONFIG_LOG_AGE, lambda: plan.log_age_ms(clock.now_ms())
-    yield listed.CONFIG_LAG, lambda: feed.lag_ms
-    yield listed.CONFIG_READER, lambda: int(plan.neighbours.is_reader)
-    yield listed.CONFIG_BYTES_SENT, lambda: feed.bytes_sent
-    yield listed.CONFIG_SENDS_FAILED, lambda: feed.sends_failed
-    yield listed.CONFIG_USEFUL, lambda: feed.pushes_useful
-    yield listed.CONFIG_USELESS, lambda: feed.pushes_useless
-    yield listed.CONFIG_SNAPSHOTS, lambda: feed.writer.written
+    yield instruments.CONFIG_LOG_AGE, lambda: plan.log_age_ms(clock.now_ms())
+    yield instruments.CONFIG_LAG, lambda: feed.lag_ms
+    yield instruments.CONFIG_READER, lambda: int(plan.neighbours.is_reader)
+    yield instruments.CONFIG_BYTES_SENT, lambda: feed.bytes_sent
+    yield instruments.CONFIG_SENDS_FAILED, lambda: feed.sends_failed
+    yield instruments.CONFIG_USEFUL, lambda: feed.pushes_useful
+    yield instruments.CONFIG_USELESS, lambda: feed.pushes_useless
+    yield instruments.CONFIG_SNAPSHOTS, lambda: feed.writer.written
 
 
 def _log(node: ObservedApplication) -> Readings:
     log, feed = node.log, node.feed
-    yield listed.LOG_UP, lambda: int(feed.log_up)
-    yield listed.LOG_READS, lambda: log.reads
-    yield listed.LOG_APPENDS, lambda: log.appends
-    yield listed.LOG_BYTES_READ, lambda: log.bytes_read
+    yield instruments.LOG_UP, lambda: int(feed.log_up)
+    yield instruments.LOG_READS, lambda: log.reads
+    yield instruments.LOG_APPENDS, lambda: log.appends
+    yield instruments.LOG_BYTES_READ, lambda: log.bytes_read
 
 
 def _first_contacts(node: ObservedSidecar) -> Readings:
     log, feed = node.log, node.feed
-    yield listed.LOG_UP, lambda: int(feed.source_up)
-    yield listed.LOG_READS, lambda: log.reads
-    yield listed.LOG_APPENDS, lambda: log.appends
+    yield instruments.LOG_UP, lambda: int(feed.source_up)
+    yield instruments.LOG_READS, lambda: log.reads
+    yield instruments.LOG_APPENDS, lambda: log.appends
 
 
 def _members(node: ObservedNode) -> Readings:
     table, swim = node.table, node.membership.swim
     yield (
-        listed.MEMBERS,
+        instruments.MEMBERS,
         lambda: Counter(entry.state for entry in table.all()),
     )
-    yield listed.MEMBERS_SUSPECTED, lambda: swim.suspected
-    yield listed.MEMBERS_REFUTED, lambda: table.refutations
-    yield listed.MEMBERS_PAUSES, lambda: swim.pauses
-    yield listed.PEER_BYTES_SENT, lambda: peer_bytes(node)
-    yield listed.PEER_LATE_FRAMES, lambda: node.links.late_replies
-    yield listed.PEER_REFUSED_STREAMS, lambda: node.peers.rejected_streams
+    yield instruments.MEMBERS_SUSPECTED, lambda: swim.suspected
+    yield instruments.MEMBERS_REFUTED, lambda: table.refutations
+    yield instruments.MEMBERS_PAUSES, lambda: swim.pauses
+    yield instruments.PEER_BYTES_SENT, lambda: peer_bytes(node)
+    yield instruments.PEER_LATE_FRAMES, lambda: node.links.late_replies
+    yield instruments.PEER_REFUSED_STREAMS, lambda: node.peers.rejected_streams
 
 
 def _target(node: ObservedNode) -> Readings:
-    owner, gate = node.owner, node.owner.admission_queue
-    admission = gate.admission
-    yield listed.REQUESTS_IN_FLIGHT, lambda: owner.in_flight
+    owner, admission_queue = node.owner, node.owner.admission_queue
+    admission = admission_queue.admission
+    yield instruments.REQUESTS_IN_FLIGHT, lambda: owner.in_flight
     yield (
-        listed.TARGET_SLOTS,
+        instruments.TARGET_SLOTS,
         lambda: owner.target.slots if owner.target else 0,
     )
-    yield listed.TARGET_WAITING, lambda: admission.waiting
-    yield listed.TARGET_WAITS, lambda: gate.wait_count
-    yield listed.TARGET_WAITED, lambda: gate.total_wait_ms
-    yield listed.TARGET_LIMIT, lambda: admission.limit.current
-    yield listed.TARGET_REFUSED, lambda: admission.rejected
-    yield listed.TARGET_EXPIRED, lambda: admission.expired
-    yield listed.TARGET_DECLINED, lambda: admission.declined
-    yield listed.TARGET_CRASHES, lambda: owner.crash_detector.crashes
-    yield listed.TARGET_LAPSES, lambda: node.target.lease.lapses
+    yield instruments.TARGET_WAITING, lambda: admission.waiting
+    yield instruments.TARGET_WAITS, lambda: admission_queue.wait_count
+    yield instruments.TARGET_WAITED, lambda: admission_queue.total_wait_ms
+    yield instruments.TARGET_LIMIT, lambda: admission.limit.current
+    yield instruments.TARGET_REFUSED, lambda: admission.rejected
+    yield instruments.TARGET_EXPIRED, lambda: admission.expired
+    yield instruments.TARGET_DECLINED, lambda: admission.declined
+    yield instruments.TARGET_CRASHES, lambda: owner.crash_detector.crashes
+    yield instruments.TARGET_LAPSES, lambda: node.target.lease.lapses
 
 
 def _requests(node: ObservedNode) -> Readings:
     budgets = node.forwarder.retries.budgets
     ingress, forwarder = node.ingress, node.forwarder
-    yield listed.REQUESTS, lambda: ingress.outcomes
-    yield listed.LATENCY, ingress.latency.cumulative
-    yield listed.LATENCY_SUM, lambda: ingress.latency.sum_ms
-    yield listed.HEDGED, lambda: forwarder.hedged
-    yield listed.HEDGES_WON, lambda: forwarder.hedges_won
-    yield listed.LINES_DROPPED, lambda: ingress.log_limiter.dropped_total
-    yield listed.TURNED_AWAY, lambda: node.forwarder.rejected
+    yield instruments.REQUESTS, lambda: ingress.outcomes
+    yield instruments.LATENCY, ingress.latency.cumulative
+    yield instruments.LATENCY_SUM, lambda: ingress.latency.sum_ms
+    yield instruments.HEDGED, lambda: forwarder.hedged
+    yield instruments.HEDGES_WON, lambda: forwarder.hedges_won
+    yield instruments.LINES_DROPPED, lambda: ingress.log_limiter.dropped_total
+    yield instruments.TURNED_AWAY, lambda: node.forwarder.rejected
     yield (
-        listed.RETRIES,
+        instruments.RETRIES,
         lambda: {name: item.spent for name, item in budgets.items()},
     )
     yield (
-        listed.RETRIES_DENIED,
+        instruments.RETRIES_DENIED,
         lambda: {name: item.denied for name, item in budgets.items()},
     )
 
 
-def _placing(node: ObservedNode) -> Readings:
-    placing = node.forwarder.load_balancer
-    if isinstance(placing, TwoChoices):
-        yield listed.EJECTIONS, lambda: placing.ejections
-        yield listed.SPILLS, lambda: placing.overflows
+def _load_balancing(node: ObservedNode) -> Readings:
+    load_balancer = node.forwarder.load_balancer
+    if isinstance(load_balancer, TwoChoices):
+        yield instruments.EJECTIONS, lambda: load_balancer.ejections
+        yield instruments.SPILLS, lambda: load_balancer.overflows
 
 
 def _quarantine(node: ObservedNode) -> Readings:
     reports = node.crash_reports
-    yield listed.SUSPECT_REQUESTS, lambda: len(reports.table.entries)
-    yield listed.QUARANTINE_REFUSED, lambda: reports.rejected
+    yield instruments.SUSPECT_REQUESTS, lambda: len(reports.table.entries)
+    yield instruments.QUARANTINE_REFUSED, lambda: reports.rejected
 
 
 def _claims(node: ObservedApplication) -> Readings:
     claims = node.claims
-    yield listed.CLAIM_KEYS, lambda: claims.keys
-    yield listed.CLAIMS_FORWARDED, lambda: claims.forwarded
-    yield listed.CLAIMS_REFUSED, lambda: claims.rejected
-    yield listed.CLAIM_ANSWER_SIZE, lambda: claims.responses.stored_bytes
+    yield instruments.CLAIM_KEYS, lambda: claims.keys
+    yield instruments.CLAIMS_FORWARDED, lambda: claims.forwarded
+    yield instruments.CLAIMS_REFUSED, lambda: claims.rejected
+    yield instruments.CLAIM_ANSWER_SIZE, lambda: claims.responses.stored_bytes
--- a/packages/pomelobank-node/src/pomelobank_node/_operator.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_operator.py
@@ -1,4 +1,4 @@
-"""Operators' remote procedure calls."""
+"""The gRPC service for operators."""
 
 import asyncio
 import contextlib
@@ -36,21 +36,25 @@
 from pomelobank_schema.generated import operator_pb2_grpc as pb_grpc
 from pomelobank_schema.generated.records import ChangeRecord
 
+# Limit for reading a change back from the log.
 READ_BACK_TIMEOUT_S = 5.0
-READ_BACK_PAUSE_MS = 100
-ASK_AGAIN_MS = 1000
+# Pause after the first read; each further pause is twice as long, up to
+# RETRY_AFTER_MS.
+READ_BACK_INITIAL_PAUSE_MS = 100
+# Retry delay sent to operators if the outcome of a change is unknown.
+RETRY_AFTER_MS = 1000
 _MS_PER_S = 1000
 
-_LOG_REFUSED = pb.ChangeProblem(
+_PROBLEM_APPEND_REJECTED = pb.ChangeProblem(
     kind="log_refused",
     message="the log took nothing; apply again with the same change id",
 )
-_LOG_SILENT = pb.ChangeProblem(
+_PROBLEM_LOG_TIMEOUT = pb.ChangeProblem(
     kind="log_silent",
     message="the log did not answer in time; the change may still be accepted,"
     " ask for its id or apply again with the same one",
 )
-_NOT_IN_LOG = pb.ChangeProblem(
+_PROBLEM_NOT_IN_LOG = pb.ChangeProblem(
     kind="not_in_log",
     message="the log does not hold the change up to now; applying again with"
     " the same change id is safe",
@@ -59,14 +63,14 @@
 
 @attrs.define(eq=False)
 class OperatorService(pb_grpc.OperatorServicer):  # type: ignore[misc]
-    """Answers operators.
+    """Implements the operators' calls.
 
     Attributes:
-        store: The configuration in force.
-        log: Where changes are published.
-        feed: Tells how the log looked last.
-        membership: Tells the fleet's state.
-        clock: Tells the time.
+        store: Holds the configuration in force and the decisions on changes.
+        log: Log to which changes are appended.
+        feed: Reads the log into the store and reports the log's state.
+        membership: Provides the states of the mesh's nodes.
+        clock: Provides the current time.
     """
 
     store: ConfigStore
@@ -78,43 +82,43 @@
     async def Apply(
         self, request: pb.ApplyRequest, context: object
     ) -> pb.ApplyReply:
-        """Publishes a transaction and answers once it was read back."""
+        """Publishes a change and responds after reading it back."""
         change_id = request.change_id or uuid.uuid4().hex
         try:
             record = change_record(request, change_id, self.clock.wall_ms())
         except SchemaError as error:
-            return _invalid(change_id, error)
-        known = self.store.state.decisions.get(change_id)
-        if known is not None:
-            return _same_or_rejected(known, record)
-        problems = self._check(record)
+            return _invalid_request(change_id, error)
+        earlier_decision = self.store.state.decisions.get(change_id)
+        if earlier_decision is not None:
+            return _decision_or_conflict(earlier_decision, record)
+        problems = self._validate(record)
         if problems or request.dry_run:
-            return await self._check_again(record, request.dry_run)
+            return await self._validate_at_log_end(record, request.dry_run)
         return await self._publish(record)
 
-    def _check(self, record: ChangeRecord) -> tuple[Problem, ...]:
+    def _validate(self, record: ChangeRecord) -> tuple[Problem, ...]:
         snapshot = self.store.state.snapshot
         result = evaluate(snapshot, snapshot.version + 1, record)
         if isinstance(result, Failure):
             return tuple(result.failure())
         return ()
 
-    async def _check_again(
+    async def _validate_at_log_end(
         self, record: ChangeRecord, dry_run: bool
     ) -> pb.ApplyReply:
-        # This node may be a moment behind: the service that the change needs
-        # may have been accepted just now, or the same change, sent through
-        # another node whose answer was lost, may be in the log already. Only
-        # a check at the log's end may end in "rejected".
+        # This node's configuration may lag behind the log. The log may already
+        # contain the service that the change refers to, or the same change,
+        # sent through another node whose response was lost. The node therefore
+        # rejects a change only after it has read the log to its end.
         try:
             async with asyncio.timeout(READ_BACK_TIMEOUT_S):
                 await self.feed.catch_up()
         except (LogError, TimeoutError):
-            return _unknown(record.change_id, _LOG_SILENT)
-        known = self.store.state.decisions.get(record.change_id)
-        if known is not None:
-            return _same_or_rejected(known, record)
-        problems = self._check(record)
+            return _unknown_outcome(record.change_id, _PROBLEM_LOG_TIMEOUT)
+        earlier_decision = self.store.state.decisions.get(record.change_id)
+        if earlier_decision is not None:
+            return _decision_or_conflict(earlier_decision, record)
+        problems = self._validate(record)
         if problems:
             return _rejected(record.change_id, problems)
         if dry_run:
@@ -128,48 +132,50 @@
             await self.log.append(CONFIG_STREAM, encode(record))
         except LogError as error:
             if error.kind is LogErrorKind.REJECTED:
-                return _unknown(record.change_id, _LOG_REFUSED)
-        # Here the append took effect, or its answer was lost and nobody can
-        # know: only the log itself tells. Reading it at once also makes this
-        # node the first to pass the change on.
+                return _unknown_outcome(
+                    record.change_id, _PROBLEM_APPEND_REJECTED
+                )
+        # At this point, either the append succeeded or the log's response was
+        # lost, and only a read of the log shows which. Because this node reads
+        # the log at once, it is also the first to distribute the change.
         try:
             async with asyncio.timeout(READ_BACK_TIMEOUT_S):
-                verdict = await self._read_back(record.change_id)
-                return _same_or_rejected(verdict, record)
+                decision = await self._read_back(record.change_id)
+                return _decision_or_conflict(decision, record)
         except TimeoutError:
-            return _unknown(record.change_id, _LOG_SILENT)
+            return _unknown_outcome(record.change_id, _PROBLEM_LOG_TIMEOUT)
 
     async def _read_back(self, change_id: str) -> ChangeDecision:
-        reading = asyncio.create_task(self._keep_reading(change_id))
+        reading = asyncio.create_task(self._poll_log(change_id))
         try:
             return await self.store.wait_for_change(change_id)
         finally:
             reading.cancel()
 
-    async def _keep_reading(self, change_id: str) -> None:
-        pause_ms = READ_BACK_PAUSE_MS
+    async def _poll_log(self, change_id: str) -> None:
+        pause_ms = READ_BACK_INITIAL_PAUSE_MS
         while change_id not in self.store.state.decisions:
             with contextlib.suppress(LogError):
                 await self.feed.catch_up()
             await asyncio.sleep(pause_ms / _MS_PER_S)
-            pause_ms = min(2 * pause_ms, ASK_AGAIN_MS)
+            pause_ms = min(2 * pause_ms, RETRY_AFTER_MS)
 
     async def GetChange(
         self, request: pb.ChangeRequest, context: object
     ) -> pb.ApplyReply:
-        """Looks up an earlier change by its id."""
-        verdict = self.store.state.decisions.get(request.change_id)
-        if verdict is not None:
-            return _verdict_reply(verdict)
+        """Returns the decision on an earlier change, found by its id."""
+        decision = self.store.state.decisions.get(request.change_id)
+        if decision is not None:
+            return _decision_reply(decision)
         try:
             async with asyncio.timeout(READ_BACK_TIMEOUT_S):
                 await self.feed.catch_up()
         except (LogError, TimeoutError):
-            return _unknown(request.change_id, _LOG_SILENT)
-        verdict = self.store.state.decisions.get(request.change_id)
-        if verdict is None:
-            return _unknown(request.change_id, _NOT_IN_LOG)
-        return _verdict_reply(verdict)
+            return _unknown_outcome(request.change_id, _PROBLEM_LOG_TIMEOUT)
+        decision = self.store.state.decisions.get(request.change_id)
+        if decision is None:
+            return _unknown_outcome(request.change_id, _PROBLEM_NOT_IN_LOG)
+        return _decision_reply(decision)
 
     async def GetConfig(
         self, request: pb.GetConfigRequest, context: object
@@ -185,11 +191,11 @@
     async def GetAudit(
         self, request: pb.AuditRequest, context: object
     ) -> pb.AuditReply:
-        """Returns what was asked for, by whom, and what was decided."""
-        verdicts = reversed(list(self.store.state.decisions.values()))
+        """Returns the decisions on changes, the newest first."""
+        decisions = reversed(list(self.store.state.decisions.values()))
         entries = [
             entry
-            for entry in map(_audit_entry, verdicts)
+            for entry in map(_audit_entry, decisions)
             if request.author in ("", entry.author)
             and (not request.object or request.object in entry.objects)
         ]
@@ -198,7 +204,7 @@
     async def GetStatus(
         self, request: pb.StatusRequest, context: object
     ) -> pb.StatusReply:
-        """Returns the state of the node and of the fleet as it sees it."""
+        """Returns the state of the node and of all members that it knows."""
         own = self.membership.table.own
         return pb.StatusReply(
             node=own.node,
@@ -226,21 +232,21 @@
     return str(item[0])
 
 
-def _verdict_reply(verdict: ChangeDecision) -> pb.ApplyReply:
-    status = pb.CHANGE_ACCEPTED if verdict.accepted else pb.CHANGE_REJECTED
+def _decision_reply(decision: ChangeDecision) -> pb.ApplyReply:
+    status = pb.CHANGE_ACCEPTED if decision.accepted else pb.CHANGE_REJECTED
     return pb.ApplyReply(
-        change_id=verdict.change_id,
+        change_id=decision.change_id,
         status=status,
-        version=verdict.version,
-        problems=problem_messages(verdict.problems),
+        version=decision.version,
+        problems=problem_messages(decision.problems),
     )
 
 
-def _same_or_rejected(
-    known: ChangeDecision, record: ChangeRecord
+def _decision_or_conflict(
+    earlier_decision: ChangeDecision, record: ChangeRecord
 ) -> pb.ApplyReply:
-    if known.digest == operations_digest(record):
-        return _verdict_reply(known)
+    if earlier_decision.digest == operations_digest(record):
+        return _decision_reply(earlier_decision)
     problem = pb.ChangeProblem(
         kind="change_id_in_use",
         message="another change has this id already; choose a new one",
@@ -260,7 +266,7 @@
     )
 
 
-def _invalid(change_id: str, error: SchemaError) -> pb.ApplyReply:
+def _invalid_request(change_id: str, error: SchemaError) -> pb.ApplyReply:
     problem = pb.ChangeProblem(
         kind=error.kind.value, object=error.field_path, message=error.message
     )
@@ -269,36 +275,39 @@
     )
 
 
-def _unknown(change_id: str, why: pb.ChangeProblem) -> pb.ApplyReply:
+def _unknown_outcome(
+    change_id: str, problem: pb.ChangeProblem
+) -> pb.ApplyReply:
     return pb.ApplyReply(
         change_id=change_id,
         status=pb.CHANGE_UNKNOWN,
-        problems=[why],
-        retry_after_ms=ASK_AGAIN_MS,
+        problems=[problem],
+        retry_after_ms=RETRY_AFTER_MS,
     )
 
 
-def _audit_entry(verdict: ChangeDecision) -> pb.AuditEntry:
+def _audit_entry(decision: ChangeDecision) -> pb.AuditEntry:
     return pb.AuditEntry(
-        version=verdict.version,
-        change_id=verdict.change_id,
-        author=verdict.author,
-        reason=verdict.reason,
-        at_ms=verdict.at_ms,
-        status=pb.CHANGE_ACCEPTED if verdict.accepted else pb.CHANGE_REJECTED,
-        objects=verdict.objects,
-        problems=problem_messages(verdict.problems),
+        version=decision.version,
+        change_id=decision.change_id,
+        author=decision.author,
+        reason=decision.reason,
+        at_ms=decision.at_ms,
+        status=pb.CHANGE_ACCEPTED if decision.accepted else pb.CHANGE_REJECTED,
+        objects=decision.objects,
+        problems=problem_messages(decision.problems),
     )
 
 
 @attrs.define(eq=False)
 class OperatorServer:
-    """Serves the remote procedure calls.
+    """Runs the gRPC server for operators.
 
     Attributes:
         listen: Address to listen on.
-        service: Answers the calls.
-        address: Address that is really used, once it listens.
+        service: Implements the calls.
+        address: Address with the port in use; empty before the server listens.
+        server: The gRPC server; None before the start.
     """
 
     listen: str
@@ -307,7 +316,7 @@
     server: grpc.aio.Server | None = None
 
     async def start(self) -> None:
-        """Starts listening."""
+        """Starts the server."""
         self.server = grpc.aio.server()
         pb_grpc.add_OperatorServicer_to_server(self.service, self.server)
         port = self.server.add_insecure_port(self.listen)
@@ -315,6 +324,6 @@
         self.address = f"{self.listen.rpartition(':')[0]}:{port}"
 
     async def stop(self) -> None:
-        """Stops after the calls under way."""
+        """Stops the server; calls under way get one second to finish."""
         if self.server is not None:
             await self.server.stop(grace=1)
--- a/packages/pomelobank-node/src/pomelobank_node/_operator_messages.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_operator_messages.py
@@ -1,4 +1,4 @@
-"""Converts between operators' messages and the log's records."""
+"""Converts between operators' messages and records of the log."""
 
 from collections.abc import Iterable
 
@@ -14,25 +14,26 @@
 )
 from pomelobank_schema.operator_messages import object_message
 
-_DEFAULT_TIMEOUT_MS = 5000
+# Time-out of a route whose message does not set one.
+_DEFAULT_ROUTE_TIMEOUT_MS = 5000
 _KIND_NAMES = {pb.Operation.PUT: "put", pb.Operation.DELETE: "delete"}
 
 
 def change_record(
     request: pb.ApplyRequest, change_id: str, at_ms: int
 ) -> ChangeRecord:
-    """Returns the record of a transaction.
+    """Converts an operator's change to a record of the log.
 
     Args:
-        request: What the operator sent.
+        request: The operator's request.
         change_id: Id of the change.
-        at_ms: Time since the epoch.
+        at_ms: Time of the request, in ms since the Unix epoch.
 
     Returns:
         The record.
 
     Raises:
-        SchemaError: If an object breaks a limit.
+        SchemaError: If a field of an object is outside its limits.
     """
     return ChangeRecord(
         change_id=change_id,
@@ -75,7 +76,7 @@
             WeightedDestination(upstream=item.upstream, weight=item.weight)
             for item in route.destinations
         ),
-        timeout_ms=route.timeout_ms or _DEFAULT_TIMEOUT_MS,
+        timeout_ms=route.timeout_ms or _DEFAULT_ROUTE_TIMEOUT_MS,
         traffic_class=route.traffic_class or "interactive",
         idempotent_methods=tuple(route.idempotent_methods),
         repeatable=route.repeatable,
@@ -86,14 +87,14 @@
 
 
 def config_object(item: VersionedObject) -> pb.ConfigObject:
-    """Returns the operators' message of an object."""
+    """Converts an object to the message that operators receive."""
     message = object_message(item.value)
     message.revision = item.revision
     return message
 
 
 def problem_messages(problems: Iterable[Problem]) -> list[pb.ChangeProblem]:
-    """Returns the operators' messages of problems."""
+    """Converts problems to the messages that operators receive."""
     return [
         pb.ChangeProblem(
             kind=problem.kind.value,
--- a/packages/pomelobank-node/src/pomelobank_node/_reference.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_reference.py
@@ -1,4 +1,4 @@
-"""Writes the reference pages from the lists that the program itself uses.
+"""Generates the reference pages from the definitions in the program.
 
 Run as `python -m pomelobank_node._reference DOCS`.
 """
@@ -11,7 +11,7 @@
 
 
 def metrics_page() -> str:
-    """Returns the page of all metrics."""
+    """Returns the reference page of the metrics in Markdown."""
     rows = [
         f"| `{item.name}` | {item.unit} | {item.label or '-'} |"
         f" {'counter' if item.monotonic else 'gauge'} | {item.description} |"
@@ -34,11 +34,11 @@
 
 
 def errors_page() -> str:
-    """Returns the page of all error kinds."""
+    """Returns the reference page of the error kinds in Markdown."""
     rows = [
-        f"| `{kind.value}` | {answer.status} | {answer.run_state.value} |"
-        f" {answer.retry_after_ms or '-'} | {answer.message} |"
-        for kind, answer in ERROR_RESPONSES.items()
+        f"| `{kind.value}` | {response.status} | {response.run_state.value} |"
+        f" {response.retry_after_ms or '-'} | {response.message} |"
+        for kind, response in ERROR_RESPONSES.items()
     ]
     return "\n".join(
         [
@@ -62,9 +62,9 @@
 
 
 def write_all(folder: Path) -> None:
-    """Writes every page into a folder."""
-    for name, page in PAGES.items():
-        (folder / name).write_text(page())
+    """Writes all pages into a folder."""
+    for name, render_page in PAGES.items():
+        (folder / name).write_text(render_page())
 
 
 if __name__ == "__main__":
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_admin.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_admin.py
@@ -1,4 +1,8 @@
-"""Announcements of targets."""
+"""Validation of targets' announcements.
+
+A target that sends an invalid announcement, for example without slots, must
+receive an error that names the wrong field.
+"""
 
 import pytest
 
@@ -38,7 +42,7 @@
         ),
     ],
 )
-def test_bad_announcements_are_refused(
+def test_invalid_announcements_are_rejected(
     body: bytes, kind: str, field: str
 ) -> None:
     with pytest.raises(SchemaError) as raised:
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_log_output.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_log_output.py
@@ -1,15 +1,19 @@
-"""Lines that nobody reads, and requests that get a line."""
+"""Log output with a slow reader, and the rate limit of log lines."""
 
 import os
 
 from pomelobank_node._log_output import MAX_BUFFERED_CHUNKS, BoundedOutput
-from pomelobank_node._log_rate_limiter import MAX_FAILURES_PER_S, LogRateLimiter
+from pomelobank_node._log_rate_limiter import (
+    MAX_FAILURE_LINES_PER_S,
+    LogRateLimiter,
+)
 
 
-def test_a_reader_that_stands_still_does_not_hold_the_node_up() -> None:
-    """The collector of logs stops reading its pipe.
+def test_a_reader_that_stops_reading_does_not_block_the_node() -> None:
+    """The log collector stops reading its pipe.
 
-    A plain write would wait for it, and every request of the node with it.
+    A blocking write would wait for the collector and stop every request of the
+    node.
     """
     read_end, write_end = os.pipe()
     output = BoundedOutput(write_end)
@@ -22,25 +26,25 @@
     os.close(write_end)
 
 
-def test_what_waited_is_written_once_the_reader_goes_on() -> None:
+def test_buffered_lines_are_written_once_the_reader_continues() -> None:
     read_end, write_end = os.pipe()
     output = BoundedOutput(write_end)
     lines = [f"{number}".rjust(999) + "\n" for number in range(200)]
     for line in lines:
         output.write(line)
     assert output.buffered
-    got = b""
+    received = b""
     while output.buffered:
-        got += os.read(read_end, 65536)
+        received += os.read(read_end, 65536)
         output.flush()
     os.close(write_end)
-    while part := os.read(read_end, 65536):
-        got += part
+    while chunk := os.read(read_end, 65536):
+        received += chunk
     os.close(read_end)
-    assert got.decode() == "".join(lines)
+    assert received.decode() == "".join(lines)
 
 
-def test_a_reader_that_has_gone_costs_lines_only() -> None:
+def test_a_closed_reader_drops_lines_without_an_error() -> None:
     read_end, write_end = os.pipe()
     os.close(read_end)
     output = BoundedOutput(write_end)
@@ -50,13 +54,13 @@
 
 
 def test_failures_without_a_line_are_counted_in_the_next_one() -> None:
-    """Thousands of requests a second are refused.
+    """The node rejects thousands of requests per second.
 
-    A line for each would take the core that the others need.
+    Writing a line for each would take the CPU time that other requests need.
     """
-    budget = LogRateLimiter()
-    told = sum(budget.allow_failure(500) for _ in range(1000))
-    assert told == MAX_FAILURES_PER_S
-    assert budget.allow_failure(1500)
-    assert budget.pop_dropped() == 1000 - MAX_FAILURES_PER_S
-    assert budget.pop_dropped() == 0
+    limiter = LogRateLimiter()
+    allowed = sum(limiter.allow_failure(500) for _ in range(1000))
+    assert allowed == MAX_FAILURE_LINES_PER_S
+    assert limiter.allow_failure(1500)
+    assert limiter.pop_dropped() == 1000 - MAX_FAILURE_LINES_PER_S
+    assert limiter.pop_dropped() == 0
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_operator_messages.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_operator_messages.py
@@ -1,4 +1,4 @@
-"""Operators' messages keep every field of an object."""
+"""Conversion between operators' messages and records of the log."""
 
 from pomelobank_node._operator_messages import change_record
 from pomelobank_schema.generated import operator_pb2 as pb
@@ -6,8 +6,8 @@
 from pomelobank_schema.operator_messages import object_message
 
 
-def test_a_route_comes_back_as_it_was() -> None:
-    """A field that is left out on the way would be lost with the next apply."""
+def test_a_route_keeps_all_fields_in_both_conversions() -> None:
+    """A field that a conversion omits would be lost with the next apply."""
     route = RouteObject(
         name="stock",
         service="shop",
@@ -25,5 +25,5 @@
         kind=pb.Operation.PUT, object=object_message(route)
     )
     request = pb.ApplyRequest(operations=[operation])
-    (found,) = change_record(request, "id", 0).operations
-    assert found.route == route
+    (converted,) = change_record(request, "id", 0).operations
+    assert converted.route == route
