--- a/packages/pomelobank-node/src/pomelobank_node/_application.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_application.py
@@ -130,7 +130,7 @@
         dispatcher.claims = self.claims
 
     async def start(self) -> None:
-        """Starts all components; the servers for callers come near the end."""
+        """Starts all components; the callers' server is one of the last."""
         for component in (
             self.metrics,
             self.log,
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_event_loop.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_event_loop.py
@@ -22,7 +22,10 @@
 def test_most_polls_are_skipped_while_callbacks_are_ready(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a poll system call in each iteration of the loop."""
+    """Guards against a poll system call in each iteration of the loop.
+
+    The standard loop makes this call even if callbacks are ready.
+    """
     polls = 0
     select = selectors.DefaultSelector.select
 
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_log_output.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_log_output.py
@@ -27,6 +27,7 @@
 
 
 def test_buffered_lines_are_written_once_the_reader_continues() -> None:
+    """Guards against lines that are lost or torn when the reader pauses."""
     read_end, write_end = os.pipe()
     output = BoundedOutput(write_end)
     lines = [f"{number}".rjust(999) + "\n" for number in range(200)]
@@ -45,6 +46,10 @@
 
 
 def test_a_closed_reader_drops_lines_without_an_error() -> None:
+    """The log collector ends, so each write to its pipe fails.
+
+    An exception from the write would reach the code that logs the line.
+    """
     read_end, write_end = os.pipe()
     os.close(read_end)
     output = BoundedOutput(write_end)
