--- a/packages/pomelobank-core/src/pomelobank_core/_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_admission.py
@@ -1,4 +1,4 @@
-"""Decides which requests a target runs, which wait and which are refused."""
+"""Admission by traffic class: starts, queues or rejects requests."""
 
 import random
 from collections import deque
@@ -29,14 +29,14 @@
     usable_busy_slots,
 )
 
-# A class that has not asked for this long lends its guaranteed part, so that a
-# target which serves one class only is used in full. A minute outlasts the
-# pauses of a counter; what it costs is one long request's time, once, when the
-# class comes back.
-RESERVE_MS = 60_000
-# Taken for a class's service time before the first was measured: a burst at a
-# cold target would otherwise queue without any bound.
-UNMEASURED_MS = 100.0
+# Time without a request after which a class lends out its guaranteed slots, so
+# that a target that serves a single class can use all of its slots. A minute is
+# longer than the pauses in a counter's look-ups. When the class returns, its
+# first request may wait once for a long request to finish.
+CLASS_IDLE_AFTER_MS = 60_000
+# Expected service time of a class without measurements. With 0 the queue of a
+# cold target would have no bound during a burst.
+DEFAULT_SERVICE_TIME_MS = 100.0
 
 
 def _per_class() -> dict[TrafficClass, int]:
@@ -49,23 +49,26 @@
 
 @attrs.define
 class Admission(BaseAdmission):
-    """Slots and queue of one target.
+    """Slots and queues of one target, shared by traffic class.
 
-    Made for bursts above what the target can run, and for batch work that
-    takes every slot it can get. Without it, requests wait inside the target
-    past their callers' deadlines and the target works on answers that nobody
-    waits for; one notices by goodput that falls while the target is busy.
+    Handles bursts above the target's capacity and batch work that takes every
+    free slot. Without admission control, requests would queue inside the target
+    past their callers' deadlines, and the target would compute responses that
+    no caller waits for: goodput falls while the target is busy. The node
+    therefore sends at most `limit` requests at once, keeps a short queue in
+    front of the target and rejects requests that the queue cannot serve.
 
     Attributes:
         policy: How classes share the slots.
-        limit: Requests tried at once.
-        max_queue_ms: Longest wait that is planned. A queue is for bursts; a
-            standing one adds its length to every answer and serves no more.
-        rng: Source of randomness.
+        limit: Limit of concurrent requests at the target.
+        max_queue_ms: Maximum expected wait of a request that is queued. The
+            queue absorbs bursts; a standing queue would add its length to
+            every response time without raising throughput.
+        rng: Random number generator.
         service_times: Measured service times.
-        running: Requests at the target, by class.
-        queues: Waiting requests, by class.
-        seen_ms: When each class asked last.
+        running: Number of requests at the target, by class.
+        queues: Queued requests, by class.
+        seen_ms: Time of each class's last request.
     """
 
     policy: AdmissionPolicy
@@ -81,127 +84,129 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests at the target."""
+        """Number of requests at the target."""
         return sum(self.running.values())
 
     @property
     def queued(self) -> int:
-        """Requests in the queue, without one that waits to run alone."""
+        """Number of queued requests, without a waiting isolated request."""
         return sum(len(queue) for queue in self.queues.values())
 
     def offer(
-        self, ticket: AdmissionRequest, now_ms: float
+        self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        """Decides about a request that has just come.
+        """Decides about a request that has just arrived.
 
         Args:
-            ticket: The request.
+            request: The request.
             now_ms: Current time.
 
         Returns:
-            Whether it starts, waits or is refused.
+            Whether the request starts, waits or is rejected.
         """
-        self.seen_ms[ticket.traffic_class] = now_ms
-        return super().offer(ticket, now_ms)
+        self.seen_ms[request.traffic_class] = now_ms
+        return super().offer(request, now_ms)
 
     def expected_service_ms(self, route: str, now_ms: float) -> float:
-        """Returns the time that a route's requests usually take."""
+        """Returns the expected service time of a route in ms."""
         return self.service_times.of_route(route)
 
     def max_expected_service_ms(self, now_ms: float) -> float:
-        """Returns the usual request time of the slowest route in ms."""
+        """Returns the slowest route's expected service time in ms."""
         return self.service_times.max_ms()
 
-    def wait_deadline_ms(self, ticket: AdmissionRequest) -> float:
-        """Returns until when a request may wait: to its deadline."""
-        return ticket.deadline_ms
+    def wait_deadline_ms(self, request: AdmissionRequest) -> float:
+        """Returns the time until which a request may wait: its deadline."""
+        return request.deadline_ms
 
     def queued_requests(self) -> list[AdmissionRequest]:
-        """Returns the waiting requests, class by class."""
-        return [ticket for queue in self.queues.values() for ticket in queue]
+        """Returns the queued requests, class by class."""
+        return [request for queue in self.queues.values() for request in queue]
 
     def _offer_shared(
-        self, ticket: AdmissionRequest, now_ms: float
+        self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        if self._starts_at_once(ticket, now_ms):
-            self._start(ticket, now_ms)
+        if self._can_start_now(request, now_ms):
+            self._start(request, now_ms)
             return Started()
-        return self._offer_wait(ticket, now_ms)
+        return self._offer_wait(request, now_ms)
 
     def _offer_wait(
-        self, ticket: AdmissionRequest, now_ms: float
+        self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        # Refusing at once leaves the caller time to go elsewhere; a request
-        # that waits and then misses its deadline has cost a place for nothing.
-        wait_ms = self._wait_ms(ticket.traffic_class, now_ms)
-        room_ms = ticket.deadline_ms - now_ms
-        room_ms -= self.service_times.of_route(ticket.route)
-        usual_ms = self._usual_ms(ticket.traffic_class)
-        # One service time is always planned for: work that takes longer than
-        # the longest wait could otherwise never wait for its turn.
-        planned_ms = min(room_ms, max(self.max_queue_ms, usual_ms))
-        if wait_ms > planned_ms:
+        # An immediate rejection leaves the caller time to try another target. A
+        # request that waits and then misses its deadline takes a place in the
+        # queue and returns no response.
+        wait_ms = self._wait_ms(request.traffic_class, now_ms)
+        available_ms = request.deadline_ms - now_ms
+        available_ms -= self.service_times.of_route(request.route)
+        expected_ms = self._expected_class_ms(request.traffic_class)
+        # A wait of one service time is always allowed: work that takes longer
+        # than max_queue_ms could otherwise never be queued.
+        max_wait_ms = min(available_ms, max(self.max_queue_ms, expected_ms))
+        if wait_ms > max_wait_ms:
             return self._reject(ErrorKind.OVERLOADED, wait_ms)
-        self.queues[ticket.traffic_class].append(ticket)
+        self.queues[request.traffic_class].append(request)
         return Queued()
 
     def _offer_isolated(
-        self, ticket: AdmissionRequest, now_ms: float
+        self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        # One at a time: several would empty the target for each in turn and
-        # take it from the requests that are no danger.
+        # One isolated request at a time: several would empty the target for
+        # each in turn and take the slots from requests that are not suspects.
         if self.isolated_request is not None:
             return self._reject(ErrorKind.OVERLOADED, self.max_queue_ms)
-        # Everything else is held until the target is empty. Behind long work
-        # that would idle it for seconds; the suspect comes back later.
-        empty_ms = self._empty_ms()
-        room_ms = min(ticket.deadline_ms - now_ms, MAX_ISOLATION_HOLD_MS)
-        if empty_ms > room_ms:
-            return self._reject(ErrorKind.OVERLOADED, empty_ms)
-        return self._start_isolated(ticket, now_ms)
-
-    def _empty_ms(self) -> float:
-        busy = [item for item, slots in self.running.items() if slots]
-        return max(map(self._usual_ms, busy), default=0.0)
-
-    def _starts_at_once(self, ticket: AdmissionRequest, now_ms: float) -> bool:
+        # All other requests are held until the target is empty. Behind long
+        # work the target's slots would stand idle for seconds, so the suspect
+        # is rejected and its caller retries later.
+        until_empty_ms = self._time_until_empty_ms()
+        available_ms = min(request.deadline_ms - now_ms, MAX_ISOLATION_HOLD_MS)
+        if until_empty_ms > available_ms:
+            return self._reject(ErrorKind.OVERLOADED, until_empty_ms)
+        return self._start_isolated(request, now_ms)
+
+    def _time_until_empty_ms(self) -> float:
+        busy_classes = [item for item, slots in self.running.items() if slots]
+        return max(map(self._expected_class_ms, busy_classes), default=0.0)
+
+    def _can_start_now(self, request: AdmissionRequest, now_ms: float) -> bool:
         if self.isolated_request is not None:
             return False
-        if not may_start(self.policy, self, ticket.traffic_class, now_ms):
+        if not may_start(self.policy, self, request.traffic_class, now_ms):
             return False
-        return not queued_ahead(self.policy, self, ticket.traffic_class)
+        return not queued_ahead(self.policy, self, request.traffic_class)
 
-    def _acquire(self, ticket: AdmissionRequest) -> None:
-        self.running[ticket.traffic_class] += 1
+    def _acquire(self, request: AdmissionRequest) -> None:
+        self.running[request.traffic_class] += 1
 
-    def _release(self, ticket: AdmissionRequest) -> None:
-        self.running[ticket.traffic_class] -= 1
+    def _release(self, request: AdmissionRequest) -> None:
+        self.running[request.traffic_class] -= 1
 
-    def _remove_queued(self, ticket: AdmissionRequest) -> None:
-        queue = self.queues[ticket.traffic_class]
-        if ticket in queue:
-            queue.remove(ticket)
+    def _remove_queued(self, request: AdmissionRequest) -> None:
+        queue = self.queues[request.traffic_class]
+        if request in queue:
+            queue.remove(request)
 
     def _start_queued(self, now_ms: float) -> Iterator[AdmissionRequest]:
         while (chosen := next_class(self.policy, self, now_ms)) is not None:
-            ticket = self.queues[chosen].popleft()
-            self._start(ticket, now_ms)
-            yield ticket
+            request = self.queues[chosen].popleft()
+            self._start(request, now_ms)
+            yield request
 
     def _drop_queued(self, now_ms: float) -> list[AdmissionRequest]:
-        passed = [
-            ticket
-            for ticket in self.queued_requests()
-            if ticket.deadline_ms <= now_ms
+        timed_out = [
+            request
+            for request in self.queued_requests()
+            if request.deadline_ms <= now_ms
         ]
-        for ticket in passed:
-            self.queues[ticket.traffic_class].remove(ticket)
-        return passed
+        for request in timed_out:
+            self.queues[request.traffic_class].remove(request)
+        return timed_out
 
     def _wait_ms(self, traffic_class: TrafficClass, now_ms: float) -> float:
         ahead = queued_ahead(self.policy, self, traffic_class) + 1
         rate = sum(
-            slots / max(self._usual_ms(other), 1.0)
+            slots / max(self._expected_class_ms(other), 1.0)
             for other, slots in usable_busy_slots(
                 self.policy, self, traffic_class, now_ms
             ).items()
@@ -210,24 +215,27 @@
             return float(MAX_RETRY_AFTER_MS)
         return ahead / rate
 
-    def _usual_ms(self, traffic_class: TrafficClass) -> float:
-        return self.service_times.of_class(traffic_class.value) or UNMEASURED_MS
+    def _expected_class_ms(self, traffic_class: TrafficClass) -> float:
+        return (
+            self.service_times.of_class(traffic_class.value)
+            or DEFAULT_SERVICE_TIME_MS
+        )
 
     def _add_service_time(
-        self, ticket: AdmissionRequest, took_ms: float, now_ms: float
+        self, request: AdmissionRequest, took_ms: float, now_ms: float
     ) -> None:
         self.service_times.add(
-            ticket.traffic_class.value, ticket.route, took_ms
+            request.traffic_class.value, request.route, took_ms
         )
 
     def reserved(self, traffic_class: TrafficClass, now_ms: float) -> int:
-        """Returns the slots kept free for a class just now."""
+        """Returns the number of slots now reserved for a class."""
         if not isinstance(self.policy, GuaranteedShared):
             return 0
-        part = self.policy.slots_for(traffic_class, self.limit.current)
+        guaranteed = self.policy.slots_for(traffic_class, self.limit.current)
         seen_ms = self.seen_ms.get(traffic_class)
-        if seen_ms is not None and now_ms - seen_ms < RESERVE_MS:
-            return part
-        # One slot stays for the first interactive request after a pause, which
-        # would else wait for the end of a long report.
-        return min(part, int(traffic_class is TrafficClass.INTERACTIVE))
+        if seen_ms is not None and now_ms - seen_ms < CLASS_IDLE_AFTER_MS:
+            return guaranteed
+        # One slot stays reserved for the first interactive request after a
+        # pause; without the slot the request would wait for a long report.
+        return min(guaranteed, int(traffic_class is TrafficClass.INTERACTIVE))
--- a/packages/pomelobank-core/src/pomelobank_core/_admission_request.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_admission_request.py
@@ -1,4 +1,4 @@
-"""Requests at the door of a target and what is decided about them."""
+"""Requests at a target's admission queue, and decisions about them."""
 
 import enum
 import math
@@ -12,8 +12,8 @@
     """Classes of requests, the most urgent first.
 
     Attributes:
-        INTERACTIVE: Somebody waits for the answer.
-        INTERNAL: A service asks on behalf of a request that is under way.
+        INTERACTIVE: A person waits for the response.
+        INTERNAL: A service calls on behalf of a request in progress.
         BATCH: Reports and lists that are due hours later.
     """
 
@@ -24,20 +24,22 @@
 
 @attrs.define(eq=False)
 class AdmissionRequest:
-    """A request at the door of a target.
+    """A request that asks for, waits for or holds a slot of a target.
 
     Attributes:
-        traffic_class: Its class.
-        route: Its route.
-        deadline_ms: When its caller stops waiting.
-        isolated: Whether nothing else may run beside it.
-        priority: Its rank; 0 is the most urgent.
-        objective_at_ms: Until when an answer is of full use.
-        max_wait_ms: Longest expected wait with which it is taken.
-        past_objective: Whether it was let in though its answer will be late.
-        brief: Whether it takes a small part of the target's other work.
-        offered_ms: When it came.
-        started_ms: When it went to the target; None before.
+        traffic_class: Traffic class of the request.
+        route: Name of the request's route.
+        deadline_ms: Time at which the caller stops waiting.
+        isolated: Whether no other request may run beside this one.
+        priority: Priority of the route; 0 is the most urgent.
+        objective_at_ms: Time at which the latency objective ends.
+        max_wait_ms: Maximum expected wait; a request that would wait longer is
+            rejected.
+        past_objective: Whether the request was expected on arrival to miss its
+            objective.
+        brief: Whether the request is short next to the target's other work.
+        offered_ms: Time of arrival.
+        started_ms: Time at which the request went to the target; None before.
     """
 
     traffic_class: TrafficClass
@@ -55,21 +57,21 @@
 
 @attrs.frozen
 class Started:
-    """The request goes to the target now."""
+    """The request is sent to the target now."""
 
 
 @attrs.frozen
 class Queued:
-    """The request waits; a later change starts or expires it."""
+    """The request is queued; a later QueueChange starts or expires it."""
 
 
 @attrs.frozen
 class Rejected:
-    """The request will not run.
+    """The request is rejected and will not run.
 
     Attributes:
-        kind: Why.
-        retry_after_ms: When there is likely to be room.
+        kind: Error kind of the rejection.
+        retry_after_ms: Delay after which a slot is likely to be free.
     """
 
     kind: ErrorKind
@@ -81,11 +83,11 @@
 
 @attrs.frozen
 class QueueChange:
-    """What an event did to requests that were waiting.
+    """Queued requests that an event started or removed.
 
     Attributes:
-        started: Those that go to the target now.
-        expired: Those whose deadline passed; they have not run.
+        started: Requests that are sent to the target now.
+        expired: Requests that were dropped from the queue before they ran.
     """
 
     started: tuple[AdmissionRequest, ...] = ()
@@ -96,10 +98,10 @@
     """How a request's time at the target ended.
 
     Attributes:
-        RESPONDED: With an answer.
-        SHED: The target turned it away without working on it.
-        LOST: The target broke the connection or took none.
-        ABANDONED: The caller went away or its deadline passed.
+        RESPONDED: The target responded.
+        SHED: The target shed the request without working on it.
+        LOST: The target broke the connection or did not accept one.
+        ABANDONED: The caller went away or the deadline passed.
     """
 
     RESPONDED = "answered"
--- a/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
@@ -1,4 +1,4 @@
-"""What every admission does alike, however it shares the slots."""
+"""Parts of admission that do not depend on how the slots are shared."""
 
 import abc
 import random
@@ -19,22 +19,25 @@
 from pomelobank_core._errors import ErrorKind
 from pomelobank_core._rejections import MIN_RETRY_AFTER_MS, rejection
 
-# Longest planned hold of all other requests for one that has to run alone.
+# Maximum expected time for which all other requests are held so that an
+# isolated request can run alone.
 MAX_ISOLATION_HOLD_MS = 500.0
 
 
 @attrs.define(kw_only=True)
 class BaseAdmission(abc.ABC):
-    """Takes requests to a target's slots and learns from how they end.
+    """Gives requests the slots of a target and measures their service times.
 
-    Subclasses decide who starts, who waits and who is refused. Alike are the
-    counts, the one request that runs alone, and what an end teaches.
+    Subclasses decide which request starts, waits or is rejected. This class
+    keeps the counters, handles the request that has to run alone, and updates
+    service times and the concurrency limit when a request ends.
 
     Attributes:
         isolated_request: The request that runs or waits to run alone, if any.
-        rejected: Requests that were refused.
-        declined: Offers that would have waited longer than they were to.
-        expired: Requests that were dropped unrun.
+        rejected: Number of requests rejected on arrival.
+        declined: Number of requests whose expected wait was longer than the
+            sending node allowed.
+        expired: Number of queued requests dropped before they ran.
     """
 
     isolated_request: AdmissionRequest | None = None
@@ -42,190 +45,194 @@
     declined: int = 0
     expired: int = 0
 
-    # What the subclasses have and decide.
+    # Members that each subclass defines.
 
     @property
     @abc.abstractmethod
     def limit(self) -> ConcurrencyLimit | SlotLimit:
-        """Requests tried at once."""
+        """Limit of concurrent requests at the target."""
 
     @property
     @abc.abstractmethod
     def rng(self) -> random.Random:
-        """Source of randomness."""
+        """Random number generator."""
 
     @property
     @abc.abstractmethod
     def in_flight(self) -> int:
-        """Requests at the target."""
+        """Number of requests at the target."""
 
     @property
     @abc.abstractmethod
     def queued(self) -> int:
-        """Requests in the queue, without one that waits to run alone."""
+        """Number of queued requests, without a waiting isolated request."""
 
     @abc.abstractmethod
     def expected_service_ms(self, route: str, now_ms: float) -> float:
-        """Returns the time that a route's requests usually take."""
+        """Returns the expected service time of a route in ms."""
 
     @abc.abstractmethod
     def max_expected_service_ms(self, now_ms: float) -> float:
-        """Returns the usual request time of the slowest route in ms."""
+        """Returns the slowest route's expected service time in ms."""
 
     @abc.abstractmethod
-    def wait_deadline_ms(self, ticket: AdmissionRequest) -> float:
-        """Returns until when a request may wait."""
+    def wait_deadline_ms(self, request: AdmissionRequest) -> float:
+        """Returns the time until which a request may wait."""
 
     @abc.abstractmethod
     def _offer_shared(
-        self, ticket: AdmissionRequest, now_ms: float
+        self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        """Decides about a request that may run beside others."""
+        """Decides about a request that may run beside other requests."""
 
     @abc.abstractmethod
     def _offer_isolated(
-        self, ticket: AdmissionRequest, now_ms: float
+        self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
         """Decides about a request that has to run alone."""
 
     @abc.abstractmethod
-    def _acquire(self, ticket: AdmissionRequest) -> None:
-        """Counts a request that starts."""
+    def _acquire(self, request: AdmissionRequest) -> None:
+        """Takes a slot for a request that starts."""
 
     @abc.abstractmethod
-    def _release(self, ticket: AdmissionRequest) -> None:
-        """Counts a request that has ended."""
+    def _release(self, request: AdmissionRequest) -> None:
+        """Releases the slot of a request that has ended."""
 
     @abc.abstractmethod
-    def _remove_queued(self, ticket: AdmissionRequest) -> None:
-        """Takes a request out of the queue, if it is there."""
+    def _remove_queued(self, request: AdmissionRequest) -> None:
+        """Removes a request from the queue if it is queued."""
 
     @abc.abstractmethod
     def _drop_queued(self, now_ms: float) -> list[AdmissionRequest]:
-        """Takes what waits in vain out of the queue and returns it."""
+        """Removes and returns the queued requests that cannot run in time."""
 
     @abc.abstractmethod
     def _start_queued(self, now_ms: float) -> Iterable[AdmissionRequest]:
-        """Starts what there is room for and returns it."""
+        """Starts queued requests while slots are free and returns them."""
 
     @abc.abstractmethod
     def _add_service_time(
-        self, ticket: AdmissionRequest, took_ms: float, now_ms: float
+        self, request: AdmissionRequest, took_ms: float, now_ms: float
     ) -> None:
-        """Takes the time of a request that was answered."""
+        """Adds the service time of a request that the target answered."""
 
-    # What is alike.
+    # Members that all subclasses share.
 
     @property
     def waiting(self) -> int:
-        """Requests in the queue."""
-        return self.queued + self._alone_waits()
+        """Number of queued requests, a waiting isolated one included."""
+        return self.queued + self._isolated_is_waiting()
 
     def offer(
-        self, ticket: AdmissionRequest, now_ms: float
+        self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        """Decides about a request that has just come.
+        """Decides about a request that has just arrived.
 
         Args:
-            ticket: The request.
+            request: The request.
             now_ms: Current time.
 
         Returns:
-            Whether it starts, waits or is refused.
+            Whether the request starts, waits or is rejected.
         """
-        ticket.offered_ms = now_ms
-        if ticket.deadline_ms <= now_ms:
+        request.offered_ms = now_ms
+        if request.deadline_ms <= now_ms:
             return self._reject(ErrorKind.DEADLINE_NOT_RUN, MIN_RETRY_AFTER_MS)
-        if ticket.isolated:
-            return self._offer_isolated(ticket, now_ms)
-        return self._offer_shared(ticket, now_ms)
+        if request.isolated:
+            return self._offer_isolated(request, now_ms)
+        return self._offer_shared(request, now_ms)
 
     def finish(
-        self, ticket: AdmissionRequest, result: WorkResult, now_ms: float
+        self, request: AdmissionRequest, result: WorkResult, now_ms: float
     ) -> QueueChange:
-        """Takes the end of a request's time at the target.
+        """Handles the end of a request's time at the target.
 
         Args:
-            ticket: The request.
-            result: How it ended.
+            request: The request.
+            result: How the request ended.
             now_ms: Current time.
 
         Returns:
-            The requests that this let start or that were dropped.
+            The queued requests that start in the free slot, and those dropped.
         """
-        assert ticket.started_ms is not None
-        took_ms = now_ms - ticket.started_ms
-        busy = self.in_flight
-        self._release(ticket)
-        if self.isolated_request is ticket:
+        assert request.started_ms is not None
+        took_ms = now_ms - request.started_ms
+        in_flight_before = self.in_flight
+        self._release(request)
+        if self.isolated_request is request:
             self.isolated_request = None
         if result is WorkResult.RESPONDED:
-            self._add_service_time(ticket, took_ms, now_ms)
-            self.limit.on_response(ticket.route, took_ms, busy)
+            self._add_service_time(request, took_ms, now_ms)
+            self.limit.on_response(request.route, took_ms, in_flight_before)
         elif result is WorkResult.SHED:
             self.limit.on_shed()
         elif result is WorkResult.LOST:
             self.limit.reset()
         return self.start_waiting(now_ms)
 
-    def cancel(self, ticket: AdmissionRequest, now_ms: float) -> QueueChange:
-        """Takes a waiting request out: its caller went away.
+    def cancel(self, request: AdmissionRequest, now_ms: float) -> QueueChange:
+        """Removes a queued request whose caller went away.
 
         Args:
-            ticket: The request; nothing happens where it does not wait.
+            request: The request; a request that is not queued is ignored.
             now_ms: Current time.
 
         Returns:
-            The requests that this let start.
+            The queued requests that now start, and those dropped.
         """
-        self._remove_queued(ticket)
-        if self.isolated_request is ticket and ticket.started_ms is None:
+        self._remove_queued(request)
+        if self.isolated_request is request and request.started_ms is None:
             self.isolated_request = None
         return self.start_waiting(now_ms)
 
     def set_slots(self, slots: int, now_ms: float) -> QueueChange:
-        """Takes a new number of slots; returns what this let start."""
+        """Sets the number of slots; returns the requests started or dropped."""
         self.limit.set_slots(slots)
         return self.start_waiting(now_ms)
 
     def start_waiting(self, now_ms: float) -> QueueChange:
-        """Drops what waits in vain and starts what there is room for."""
+        """Drops requests that cannot run in time; starts others if possible."""
         dropped = self._drop(now_ms)
         if self.isolated_request is None:
             return QueueChange(tuple(self._start_queued(now_ms)), dropped)
-        if self._alone_waits() and not self.in_flight:
+        if self._isolated_is_waiting() and not self.in_flight:
             self._start(self.isolated_request, now_ms)
             return QueueChange((self.isolated_request,), dropped)
         return QueueChange((), dropped)
 
     def _drop(self, now_ms: float) -> tuple[AdmissionRequest, ...]:
         dropped = self._drop_queued(now_ms)
-        alone = self.isolated_request
-        if alone and self._alone_waits() and alone.deadline_ms <= now_ms:
-            dropped.append(alone)
+        isolated = self.isolated_request
+        if (
+            isolated
+            and self._isolated_is_waiting()
+            and isolated.deadline_ms <= now_ms
+        ):
+            dropped.append(isolated)
             self.isolated_request = None
         self.expired += len(dropped)
         return tuple(dropped)
 
-    def _alone_waits(self) -> bool:
+    def _isolated_is_waiting(self) -> bool:
         return (
             self.isolated_request is not None
             and self.isolated_request.started_ms is None
         )
 
     def _start_isolated(
-        self, ticket: AdmissionRequest, now_ms: float
+        self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        """Lets nothing start until a request has run alone."""
-        self.isolated_request = ticket
+        """Starts a request alone, or holds all others until it can start."""
+        self.isolated_request = request
         if self.in_flight:
             return Queued()
-        self._start(ticket, now_ms)
+        self._start(request, now_ms)
         return Started()
 
-    def _start(self, ticket: AdmissionRequest, now_ms: float) -> None:
-        ticket.started_ms = now_ms
-        self._acquire(ticket)
+    def _start(self, request: AdmissionRequest, now_ms: float) -> None:
+        request.started_ms = now_ms
+        self._acquire(request)
 
     def _reject(self, kind: ErrorKind, wait_ms: float) -> Rejected:
         self.rejected += 1
--- a/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
@@ -1,52 +1,61 @@
-"""How many requests a target is given at once, learnt from what it does."""
+"""Limits of the concurrent requests at a target."""
 
 import attrs
 
 from pomelobank_core._latency import MAX_ROUTES, BaselineAverage, MovingAverage
 
-# A cold target gets a quarter of its slots; one more with every answer doubles
-# that within each round trip, so it is fully used after two rounds.
-COLD_PART = 4
-# One step down per round of answers: ten per cent halves the limit in seven
-# rounds, fast enough for a target that sheds, without emptying it for one 503.
-STEP_DOWN = 0.9
-# Rounds without a shed request before the limit at which the target shed is
-# tried again. Trying it every round would have one of ten requests shed for
-# good by a target that announces more slots than it has.
+# A cold target starts with its slots divided by this. The limit grows by one
+# with every response, which doubles it in each round trip, so the target is
+# fully used after two round trips.
+COLD_START_DIVISOR = 4
+# Factor by which one step lowers the limit. At one step for each round of
+# responses (as many responses as the limit), ten per cent halves the limit in
+# seven rounds: fast enough for a target that sheds load, without emptying the
+# target after a single 503.
+DECREASE_FACTOR = 0.9
+# Rounds without load shedding before the limit returns to the value at which
+# the target shed last. If every round tried that value, a target that announces
+# more slots than it has would shed one of ten requests permanently.
 ROUNDS_BEFORE_SHED_LIMIT = 20
-# An answer that takes twice the usual time is the earliest sign of queueing
-# inside the target; below 1.5 times it is noise of short work.
+# Ratio of recent to baseline service times above which the limit falls, and
+# below which the limit may grow. Twice the baseline is the earliest sign of
+# queueing inside the target; below 1.5 times the ratio is noise of short work.
 SLOW_RATIO = 2.0
 NORMAL_RATIO = 1.5
-# A target may be slow because of what it depends on, and then fewer requests
-# at once only lose throughput. So slowness alone takes at most half the slots.
-SLOW_FLOOR_PART = 2
-# Recent means some twenty answers, usual some hundred. Both are averages of
-# the same mix, so long and short work on one route does not look slow; a
-# lasting change becomes usual, and the limit then recovers.
-RECENT_WEIGHT = 0.05
-USUAL_WEIGHT = 0.01
+# Slow responses lower the limit to no less than the slots divided by this. A
+# target may be slow because of a dependency, and fewer concurrent requests
+# would then only reduce throughput.
+SLOW_MIN_LIMIT_DIVISOR = 2
+# Weights of a new sample in the recent and the baseline average, which cover
+# about 20 and 100 responses. Both average the same mix, so a route with long
+# and short work does not look slow. A lasting change becomes the baseline, and
+# the limit then recovers.
+RECENT_SAMPLE_WEIGHT = 0.05
+BASELINE_SAMPLE_WEIGHT = 0.01
 
 
 @attrs.define
 class ConcurrencyLimit:
-    """Requests tried at once: between 1 and the slots that are announced.
+    """Adaptive limit of concurrent requests, from 1 to the announced slots.
 
-    Made for a target that sheds load or answers slower than its slots
-    promise. Without it, the node keeps sending as many as were announced,
-    each shed request is an error for a caller, and the target spends itself
-    on refusing. One notices by a rate of 503 answers while slots look busy.
+    Handles a target that sheds load or responds more slowly than its number of
+    slots suggests. With a fixed limit the node would keep sending as many
+    requests as the target announced slots: each shed request is an error for a
+    caller, the target spends its time on rejections, and the rate of 503
+    responses rises while the slots are busy. The limit therefore falls when the
+    target sheds load or slows down, and grows again when the target recovers.
 
     Attributes:
-        slots: Requests that the target says it runs at once.
-        current: Requests that are tried at once.
+        slots: Number of concurrent requests that the target announced.
+        current: Number of concurrent requests that the node allows.
         cold: Whether the limit still grows from a cold start.
-        reason: Why the limit is below the slots; empty where it is not.
-        decreases: How often it was lowered.
-        baselines: Usual time of each route.
-        ratio: Recent times in relation to the usual ones.
-        answers: Answers since the last step.
-        shed_at: Limit at which the target shed last; 0 if it never did.
+        reason: Why the limit is below the slots; empty if the two are equal.
+        decreases: How often the limit was lowered.
+        baselines: Long-term average service time of each route.
+        ratio: Average ratio of recent service times to their baseline.
+        answers: Number of responses since the limit last changed.
+        shed_at: Limit at which the target shed load last; 0 if the target never
+            did.
     """
 
     slots: int
@@ -56,21 +65,21 @@
     decreases: int = 0
     baselines: dict[str, BaselineAverage] = attrs.field(factory=dict)
     ratio: MovingAverage = attrs.field(
-        factory=lambda: MovingAverage(weight=RECENT_WEIGHT)
+        factory=lambda: MovingAverage(weight=RECENT_SAMPLE_WEIGHT)
     )
     answers: int = 0
     shed_at: int = 0
 
     @classmethod
     def start(cls, slots: int) -> "ConcurrencyLimit":
-        """Returns the limit of a target that has just started."""
-        return cls(slots, current=max(1, slots // COLD_PART))
+        """Returns the initial limit of a target that has just started."""
+        return cls(slots, current=max(1, slots // COLD_START_DIVISOR))
 
     def set_slots(self, slots: int) -> None:
-        """Takes a new announcement of the same target.
+        """Sets the number of slots that the same target announced anew.
 
-        Fewer slots count at once; more are approached step by step, as after
-        a cold start, because the new ones are as cold.
+        A lower number takes effect at once. A higher number is approached step
+        by step, as after a cold start, because the new slots are cold too.
         """
         if slots > self.slots and self.current == self.slots:
             self.cold = True
@@ -79,15 +88,15 @@
         self.current = min(self.current, slots)
 
     def on_response(self, route: str, took_ms: float, busy: int) -> None:
-        """Takes an answer.
+        """Adjusts the limit to a response of the target.
 
         Args:
             route: Route of the request.
-            took_ms: Time that the target took.
-            busy: Requests that were at the target, this one included.
+            took_ms: Service time of the request.
+            busy: Number of requests at the target, this one included.
         """
         self.answers += 1
-        self.ratio.add(self._ratio(route, took_ms))
+        self.ratio.add(self._add_to_baseline(route, took_ms))
         if self.cold:
             self._step_up()
             return
@@ -95,37 +104,40 @@
             return
         slowness = self.ratio.value or 0.0
         if slowness > SLOW_RATIO:
-            floor = max(1, self.slots // SLOW_FLOOR_PART)
-            self._step_down("slower than usual", floor)
+            min_limit = max(1, self.slots // SLOW_MIN_LIMIT_DIVISOR)
+            self._step_down("slower than usual", min_limit)
         elif slowness < NORMAL_RATIO and busy >= self.current:
-            self._try_step_up()
+            self._step_up_if_allowed()
 
     def on_shed(self) -> None:
-        """Takes an answer by which the target turned the request away."""
+        """Adjusts the limit to a response that sheds load."""
         self.answers += 1
         self.cold = False
-        # All that were at the target at the same moment tell the same thing;
-        # without the pause one burst would lower the limit to 1.
+        # Requests that were at the target together are shed for the same cause,
+        # so the limit falls once for them; otherwise one burst of shed requests
+        # would lower the limit to 1.
         if self.decreases == 0 or self.answers >= self.current:
             self.shed_at = self.current
             self._step_down("target sheds", 1)
 
     def reset(self) -> None:
-        """Begins again after the target was lost: it comes back cold."""
-        self.current = max(1, self.slots // COLD_PART)
+        """Resets the limit to a cold start after the target was lost."""
+        self.current = max(1, self.slots // COLD_START_DIVISOR)
         self.cold = True
         self.reason = "cold start"
         self.answers = 0
 
-    def _ratio(self, route: str, took_ms: float) -> float:
-        usual = self.baselines.get(route)
-        if usual is None:
+    def _add_to_baseline(self, route: str, took_ms: float) -> float:
+        baseline = self.baselines.get(route)
+        if baseline is None:
             if len(self.baselines) >= MAX_ROUTES:
                 return 1.0
-            usual = self.baselines[route] = BaselineAverage(USUAL_WEIGHT)
-        return usual.ratio(max(took_ms, 1.0))
+            baseline = self.baselines[route] = BaselineAverage(
+                BASELINE_SAMPLE_WEIGHT
+            )
+        return baseline.ratio(max(took_ms, 1.0))
 
-    def _try_step_up(self) -> None:
+    def _step_up_if_allowed(self) -> None:
         rounds = self.answers // self.current
         if self.current + 1 == self.shed_at:
             if rounds < ROUNDS_BEFORE_SHED_LIMIT:
@@ -140,9 +152,9 @@
             self.cold = False
             self.reason = ""
 
-    def _step_down(self, reason: str, floor: int) -> None:
+    def _step_down(self, reason: str, min_limit: int) -> None:
         self.answers = 0
-        lowered = max(floor, int(self.current * STEP_DOWN))
+        lowered = max(min_limit, int(self.current * DECREASE_FACTOR))
         if lowered < self.current:
             self.current = lowered
             self.decreases += 1
@@ -151,28 +163,29 @@
 
 @attrs.define
 class SlotLimit:
-    """As many requests at once as the target says, whatever becomes of them.
+    """Fixed limit of concurrent requests: the slots that a target announced.
 
-    Made for targets whose slots are a fact of their program and whose node is
-    the only way to them, so that the count is exact. A limit that is learnt
-    takes a burst of lost answers for a restart and long work for a slow target:
-    it left up to three quarters of the slots idle while callers were refused.
+    For targets whose number of slots is fixed by their program and that receive
+    requests from their node only, so that the count is exact. An adaptive limit
+    mistakes a burst of lost responses for a restart and long work for a slow
+    target: the adaptive limit left up to three quarters of the slots idle while
+    callers were rejected.
 
     Attributes:
-        current: Requests tried at once.
+        current: Number of concurrent requests that the node allows.
     """
 
     current: int
 
     def set_slots(self, slots: int) -> None:
-        """Takes the number that the target announces."""
+        """Sets the number of slots that the target announced."""
         self.current = slots
 
     def on_response(self, route: str, took_ms: float, busy: int) -> None:
-        """Takes an answer; it changes nothing."""
+        """Ignores a response; the limit is fixed."""
 
     def on_shed(self) -> None:
-        """Takes a request that was turned away; it changes nothing."""
+        """Ignores a shed request; the limit is fixed."""
 
     def reset(self) -> None:
-        """Takes the loss of the target; it changes nothing."""
+        """Ignores the loss of the target; the limit is fixed."""
--- a/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
@@ -1,4 +1,4 @@
-"""Admission by rank and by the time in which an answer is of use."""
+"""Admission by priority, latency objective and deadline."""
 
 import math
 import random
@@ -20,52 +20,59 @@
 from pomelobank_core._rank_load import Rank, RankLoad
 from pomelobank_core._route_times import RouteTimes
 
-# A running request that has taken its usual time already still takes a part of
-# it, on average, because some requests take several times as long.
-LEAST_LEFT = 0.2
-# Part of the time left that a planned wait may take. Estimates are off by
-# half for mixed work; beyond this most of those that wait are dropped in the
-# end, later than if they had been refused at once.
-WAIT_PART = 0.7
-# Times the usual time that a request is planned with when it comes. Work of one
-# route varies by a third; planned with its mean, half of what waits to the last
-# moment is late.
-SAFE_PART = 1.4
-# Requests that are late already wait in numbers of up to a third of the slots:
-# enough to use what a burst leaves over, without holding hundreds of requests
-# to their deadlines while an overload lasts.
-LATE_PART = 3
-# Part of its time that a request waits at most, and one that was late already
-# when it came: what is in time overtakes it all the while.
-FULL_WAIT_PART = 1 / 2
-LATE_WAIT_PART = 1 / 5
-# Latest time to come back that a refused caller is told, before it is spread:
-# loads are measured over a second, and further ahead nothing is known.
-LONGEST_FORECAST_MS = 1000.0
+# Minimum remaining time of a running request, as a fraction of its expected
+# service time. A request that has run longer than expected still takes a while
+# on average, because some requests take several times as long.
+MIN_REMAINING_FRACTION = 0.2
+# Maximum expected wait of a request that will miss its objective, as a fraction
+# of its time until the deadline. Estimates are off by half for mixed work;
+# above this fraction most of the queued requests would be dropped in the end,
+# later than an immediate rejection.
+MAX_PLANNED_WAIT_FRACTION = 0.7
+# Multiple of the expected service time with which an arriving request is
+# planned. Service times of one route vary by a third; planned with the mean,
+# half of the requests that start at the last possible moment would miss their
+# objective.
+SERVICE_TIME_SAFETY_FACTOR = 1.4
+# Limits the queued requests that will miss their objective to the number of
+# slots divided by this. A third of the slots is enough to use the capacity that
+# a burst leaves free, without holding hundreds of requests until their
+# deadlines while an overload lasts.
+PAST_OBJECTIVE_QUEUE_DIVISOR = 3
+# Maximum wait of a request, as a fraction of its time until the deadline; the
+# second value holds from the time at which the request can no longer meet its
+# objective, because requests that can meet theirs overtake it all the time.
+MAX_WAIT_FRACTION = 1 / 2
+MAX_PAST_OBJECTIVE_WAIT_FRACTION = 1 / 5
+# Upper bound of the delay after which a rejected caller is told to retry,
+# before jitter: the load is measured over one second and says nothing about a
+# later time.
+MAX_RETRY_FORECAST_MS = 1000.0
 
 
 @attrs.define
 class DeadlineAdmission(BaseAdmission):
-    """Slots and queue of one target, shared by rank and by time left.
-
-    Made for a burst of look-ups that are of use within some hundred ms beside
-    reports that may take seconds. First come, first served makes every
-    look-up late for as long as the burst's queue stands; one notices by a
-    target that is busy all the time with answers that are late. Here the most
-    urgent rank goes first. Within a rank go those that can still be in time,
-    the one with the least time to spare first; what is late already takes the
-    slots that are left. A request that cannot end before its deadline is
-    refused at once, while its caller can still go elsewhere. Brief requests go
-    before longer ones of their priority and wait until their deadline.
+    """Slots and queue of one target, ordered by priority and slack.
+
+    Handles a burst of look-ups with objectives of some hundred ms beside
+    reports that may take seconds. With a first-come, first-served queue every
+    look-up would miss its objective for as long as the burst's queue lasts: the
+    target is busy all the time and its responses are late. This queue starts
+    the most urgent priority first. Within a priority, requests that can still
+    meet their objective start first, in order of least slack; requests that
+    will miss their objective get the slots that remain. A request that cannot
+    end before its deadline is rejected at once, while its caller can still use
+    another target. Brief requests start before longer requests of their
+    priority and may wait until their deadline.
 
     Attributes:
-        limit: Requests tried at once.
-        rng: Source of randomness.
+        limit: Limit of concurrent requests at the target.
+        rng: Random number generator.
         service_times: Measured service times.
-        rank_load: Slot time that each rank was given lately.
+        rank_load: Slot time that each rank was given recently.
         running: Requests at the target.
-        queue: Waiting requests.
-        brief_work: Tells which requests are short next to the others.
+        queue: Queued requests.
+        brief_work: Tells which requests are short next to the target's others.
     """
 
     limit: ConcurrencyLimit | SlotLimit
@@ -77,267 +84,311 @@
     brief_work: BriefWork = attrs.field(init=False)
 
     @brief_work.default
-    def _new_brief(self) -> BriefWork:
+    def _default_brief_work(self) -> BriefWork:
         return BriefWork(self.service_times)
 
     @property
     def in_flight(self) -> int:
-        """Requests at the target."""
+        """Number of requests at the target."""
         return len(self.running)
 
     @property
     def queued(self) -> int:
-        """Requests in the queue, without one that waits to run alone."""
+        """Number of queued requests, without a waiting isolated request."""
         return len(self.queue)
 
     def _offer_shared(
-        self, ticket: AdmissionRequest, now_ms: float
+        self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
         slots = self.limit.current
-        ticket.brief = self.brief_work.is_brief(ticket.route, slots, now_ms)
+        request.brief = self.brief_work.is_brief(request.route, slots, now_ms)
         if (
             self.isolated_request is None
             and self._has_slot()
             and not self.queue
         ):
-            self._take_in(ticket, now_ms)
-            self._start(ticket, now_ms)
+            self._add_rank_load(request, now_ms)
+            self._start(request, now_ms)
             return Started()
-        wait_ms = self.wait_ms(ticket, now_ms)
-        if wait_ms > ticket.max_wait_ms:
+        wait_ms = self.wait_ms(request, now_ms)
+        if wait_ms > request.max_wait_ms:
             return self._decline(wait_ms)
-        if not ticket.brief and not self._can_be_in_time(
-            ticket, wait_ms, now_ms
+        if not request.brief and not self._can_meet_objective(
+            request, wait_ms, now_ms
         ):
-            # Behind everything that can be in time, from now on. Counted among
-            # that, it would be found late only once its objective has passed,
-            # with dozens of others, and be refused then: 431 of 2,388 at a
-            # target that is asked for three times its work, 13 with this.
-            ticket.past_objective = True
-            wait_ms = self.wait_ms(ticket, now_ms)
-        if self._would_give_up(ticket, wait_ms, now_ms) or (
-            ticket.past_objective
-            and not self._may_wait_late(ticket, wait_ms, now_ms)
+            # From now on the request ranks behind all requests that can meet
+            # their objective. Without this mark the queue would detect the miss
+            # only after the objective has passed, for dozens of requests at
+            # once, and reject them then: at a target with three times the load
+            # that the target can serve, 13 instead of 431 of 2,388 requests are
+            # rejected after their objective.
+            request.past_objective = True
+            wait_ms = self.wait_ms(request, now_ms)
+        if self._would_time_out(request, wait_ms, now_ms) or (
+            request.past_objective
+            and not self._may_wait_past_objective(request, wait_ms, now_ms)
         ):
             return self._reject(
-                ErrorKind.OVERLOADED, self._return_ms(ticket, now_ms)
+                ErrorKind.OVERLOADED, self._retry_after_ms(request, now_ms)
             )
-        self._take_in(ticket, now_ms)
-        self.queue.append(ticket)
+        self._add_rank_load(request, now_ms)
+        self.queue.append(request)
         return Queued()
 
-    def _take_in(self, ticket: AdmissionRequest, now_ms: float) -> None:
-        rank = self._shared_rank(ticket, now_ms)
-        self.rank_load.add(rank, self.expected_ms(ticket, now_ms), now_ms)
+    def _add_rank_load(self, request: AdmissionRequest, now_ms: float) -> None:
+        rank = self._load_rank(request, now_ms)
+        self.rank_load.add(rank, self.expected_ms(request, now_ms), now_ms)
 
-    def _shared_rank(self, ticket: AdmissionRequest, now_ms: float) -> Rank:
-        return Rank(ticket.priority, self._is_late(ticket, now_ms))
+    def _load_rank(self, request: AdmissionRequest, now_ms: float) -> Rank:
+        return Rank(
+            request.priority, self._will_miss_objective(request, now_ms)
+        )
 
-    def _can_be_in_time(
-        self, ticket: AdmissionRequest, wait_ms: float, now_ms: float
+    def _can_meet_objective(
+        self, request: AdmissionRequest, wait_ms: float, now_ms: float
     ) -> bool:
-        needed_ms = wait_ms + SAFE_PART * self.expected_ms(ticket, now_ms)
-        return now_ms + needed_ms <= ticket.objective_at_ms
+        needed_ms = wait_ms + SERVICE_TIME_SAFETY_FACTOR * self.expected_ms(
+            request, now_ms
+        )
+        return now_ms + needed_ms <= request.objective_at_ms
 
-    def _would_give_up(
-        self, ticket: AdmissionRequest, wait_ms: float, now_ms: float
+    def _would_time_out(
+        self, request: AdmissionRequest, wait_ms: float, now_ms: float
     ) -> bool:
-        return now_ms + wait_ms >= self.wait_deadline_ms(ticket)
+        return now_ms + wait_ms >= self.wait_deadline_ms(request)
 
-    def _may_wait_late(
-        self, ticket: AdmissionRequest, wait_ms: float, now_ms: float
+    def _may_wait_past_objective(
+        self, request: AdmissionRequest, wait_ms: float, now_ms: float
     ) -> bool:
-        # Under a lasting overload only what is in time gets slots, and a long
-        # queue behind that would wait for its deadlines.
-        late = sum(
-            item.priority <= ticket.priority and self._is_late(item, now_ms)
+        # Under a lasting overload only requests that can meet their objective
+        # get slots; a long queue behind them would wait until its deadlines.
+        queued_past_objective = sum(
+            item.priority <= request.priority
+            and self._will_miss_objective(item, now_ms)
             for item in self.queue
         )
-        room_ms = ticket.deadline_ms - now_ms - self.expected_ms(ticket, now_ms)
-        return late < self._may_be_late() and wait_ms <= WAIT_PART * room_ms
+        available_ms = (
+            request.deadline_ms - now_ms - self.expected_ms(request, now_ms)
+        )
+        return (
+            queued_past_objective < self._max_past_objective()
+            and wait_ms <= MAX_PLANNED_WAIT_FRACTION * available_ms
+        )
 
-    def _return_ms(self, ticket: AdmissionRequest, now_ms: float) -> float:
-        # When it comes back it is late, and what is in time goes before it.
-        # Told the wait of a newcomer, it would meet the same refusal again.
-        late = (ticket.priority, True, math.inf)
-        return min(self._wait_ms(ticket, late, now_ms), LONGEST_FORECAST_MS)
+    def _retry_after_ms(
+        self, request: AdmissionRequest, now_ms: float
+    ) -> float:
+        # A retry of this request will miss its objective, so requests that can
+        # meet theirs go first. If the caller were told the wait of a request's
+        # first attempt, its retry would be rejected again.
+        retry_key = (request.priority, True, math.inf)
+        return min(
+            self._wait_ms(request, retry_key, now_ms), MAX_RETRY_FORECAST_MS
+        )
 
-    def expected_ms(self, ticket: AdmissionRequest, now_ms: float) -> float:
-        """Returns the time that a request usually takes, as known now."""
-        return self.service_times.expected_ms(ticket.route, now_ms)
+    def expected_ms(self, request: AdmissionRequest, now_ms: float) -> float:
+        """Returns the expected service time of a request in ms."""
+        return self.service_times.expected_ms(request.route, now_ms)
 
     def expected_service_ms(self, route: str, now_ms: float) -> float:
-        """Returns the time that a route's requests usually take."""
+        """Returns the expected service time of a route in ms."""
         return self.service_times.expected_ms(route, now_ms)
 
     def max_expected_service_ms(self, now_ms: float) -> float:
-        """Returns the usual request time of the slowest route in ms."""
+        """Returns the slowest route's expected service time in ms."""
         return self.service_times.max_expected_ms(now_ms)
 
-    def wait_deadline_ms(self, ticket: AdmissionRequest) -> float:
-        """Returns when a waiting request is better refused after all.
+    def wait_deadline_ms(self, request: AdmissionRequest) -> float:
+        """Returns the time at which a queued request is dropped.
 
-        The target may stand still, and then nothing else ends the wait. A
-        caller that is told at half its time can still go elsewhere; one that
-        is late, when it came or since, waits for what a burst leaves over,
-        which is soon there or not at all.
+        If the target stalls, only this limit ends the wait. A caller that is
+        rejected after half of its time can still use another target. A request
+        that will miss its objective waits for the capacity that a burst leaves
+        free; that capacity is available soon or not at all, so its limit is
+        shorter. A brief request may wait until shortly before its deadline.
         """
-        usual_ms = self.expected_ms(ticket, ticket.offered_ms)
-        latest_ms = ticket.deadline_ms - usual_ms / 2
-        if ticket.brief:
+        service_ms = self.expected_ms(request, request.offered_ms)
+        latest_ms = request.deadline_ms - service_ms / 2
+        if request.brief:
             return latest_ms
-        room_ms = ticket.deadline_ms - ticket.offered_ms
-        half_ms = ticket.offered_ms + FULL_WAIT_PART * room_ms
-        late_ms = ticket.objective_at_ms - usual_ms
-        if ticket.past_objective:
-            late_ms = ticket.offered_ms
-        late_room_ms = max(0.0, ticket.deadline_ms - late_ms)
-        return min(latest_ms, half_ms, late_ms + LATE_WAIT_PART * late_room_ms)
-
-    def wait_ms(self, ticket: AdmissionRequest, now_ms: float) -> float:
-        """Returns how long a new request would wait for its slot."""
-        return self._wait_ms(ticket, self._rank(ticket, now_ms), now_ms)
+        available_ms = request.deadline_ms - request.offered_ms
+        max_wait_at_ms = request.offered_ms + MAX_WAIT_FRACTION * available_ms
+        past_objective_ms = request.objective_at_ms - service_ms
+        if request.past_objective:
+            past_objective_ms = request.offered_ms
+        past_objective_available_ms = max(
+            0.0, request.deadline_ms - past_objective_ms
+        )
+        return min(
+            latest_ms,
+            max_wait_at_ms,
+            past_objective_ms
+            + MAX_PAST_OBJECTIVE_WAIT_FRACTION * past_objective_available_ms,
+        )
+
+    def wait_ms(self, request: AdmissionRequest, now_ms: float) -> float:
+        """Returns the expected time until a new request gets a slot, in ms."""
+        return self._wait_ms(request, self._sort_key(request, now_ms), now_ms)
 
     def _wait_ms(
         self,
-        ticket: AdmissionRequest,
-        own: tuple[int, bool, float],
+        request: AdmissionRequest,
+        own_key: tuple[int, bool, float],
         now_ms: float,
     ) -> float:
         ahead_ms = sum(
             self.expected_ms(item, now_ms)
             for item in self.queue
-            if self._rank(item, now_ms) <= own
+            if self._sort_key(item, now_ms) <= own_key
         )
         slots = max(1, self.limit.current)
-        queue_wait_ms = self._first_free_ms(now_ms) + ahead_ms / slots
-        return self._wait_with_overtaking_ms(own, queue_wait_ms, now_ms)
+        queue_wait_ms = self._slot_wait_ms(now_ms) + ahead_ms / slots
+        return self._wait_with_overtaking_ms(own_key, queue_wait_ms, now_ms)
 
     def _wait_with_overtaking_ms(
-        self, own: tuple[int, bool, float], queue_wait_ms: float, now_ms: float
+        self,
+        own_key: tuple[int, bool, float],
+        queue_wait_ms: float,
+        now_ms: float,
     ) -> float:
         slots = max(1, self.limit.current)
-        rest = self.rank_load.available_fraction(
-            Rank(own[0], own[1]), slots, now_ms
+        available = self.rank_load.available_fraction(
+            Rank(own_key[0], own_key[1]), slots, now_ms
         )
-        return queue_wait_ms / rest
+        return queue_wait_ms / available
 
-    def _first_free_ms(self, now_ms: float) -> float:
+    def _slot_wait_ms(self, now_ms: float) -> float:
         if self.isolated_request is None and self._has_slot():
             return 0.0
-        left_ms = sum(self._left_ms(item, now_ms) for item in self.running)
+        remaining_ms = sum(
+            self._remaining_ms(item, now_ms) for item in self.running
+        )
         slots = max(1, self.limit.current)
-        # Of n requests that end at any time up to twice their mean, the first
-        # ends after 2 / (n + 1) of it.
-        return left_ms / slots * 2 / (slots + 1)
+        # If the ends of n requests are spread evenly up to twice their mean
+        # remaining time, the first ends after 2 / (n + 1) of that mean.
+        return remaining_ms / slots * 2 / (slots + 1)
 
-    def _rank(
-        self, ticket: AdmissionRequest, now_ms: float
+    def _sort_key(
+        self, request: AdmissionRequest, now_ms: float
     ) -> tuple[int, bool, float]:
-        if ticket.brief:
-            return ticket.priority, False, -math.inf
-        if self._is_late(ticket, now_ms):
-            return ticket.priority, True, ticket.deadline_ms
-        spare_ms = (
-            ticket.objective_at_ms - now_ms - self.expected_ms(ticket, now_ms)
+        if request.brief:
+            return request.priority, False, -math.inf
+        if self._will_miss_objective(request, now_ms):
+            return request.priority, True, request.deadline_ms
+        slack_ms = (
+            request.objective_at_ms - now_ms - self.expected_ms(request, now_ms)
         )
-        return ticket.priority, False, spare_ms
+        return request.priority, False, slack_ms
 
-    def _is_late(self, ticket: AdmissionRequest, now_ms: float) -> bool:
-        if ticket.brief:
+    def _will_miss_objective(
+        self, request: AdmissionRequest, now_ms: float
+    ) -> bool:
+        if request.brief:
             return False
-        if ticket.past_objective:
+        if request.past_objective:
             return True
-        return ticket.objective_at_ms - now_ms < self.expected_ms(
-            ticket, now_ms
+        return request.objective_at_ms - now_ms < self.expected_ms(
+            request, now_ms
         )
 
-    def _left_ms(self, ticket: AdmissionRequest, now_ms: float) -> float:
-        usual_ms = self.expected_ms(ticket, now_ms)
-        taken_ms = now_ms - (ticket.started_ms or now_ms)
-        return max(usual_ms - taken_ms, LEAST_LEFT * usual_ms)
+    def _remaining_ms(self, request: AdmissionRequest, now_ms: float) -> float:
+        service_ms = self.expected_ms(request, now_ms)
+        elapsed_ms = now_ms - (request.started_ms or now_ms)
+        return max(
+            service_ms - elapsed_ms,
+            MIN_REMAINING_FRACTION * service_ms,
+        )
 
     def _has_slot(self) -> bool:
         return self.in_flight < self.limit.current
 
     def _offer_isolated(
-        self, ticket: AdmissionRequest, now_ms: float
+        self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        # One at a time: several would empty the target for each in turn and
-        # take it from the requests that are no danger. Behind long work, the
-        # target would stand idle for seconds; the suspect comes back later.
-        empty_ms = max(
-            (self._left_ms(item, now_ms) for item in self.running), default=0.0
+        # One isolated request at a time: several would empty the target for
+        # each in turn and take the slots from requests that are not suspects.
+        # Behind long work the slots would stand idle for seconds, so the
+        # suspect is rejected and its caller retries later.
+        until_empty_ms = max(
+            (self._remaining_ms(item, now_ms) for item in self.running),
+            default=0.0,
         )
-        room_ms = min(ticket.deadline_ms - now_ms, MAX_ISOLATION_HOLD_MS)
-        if self.isolated_request is not None or empty_ms > room_ms:
+        available_ms = min(request.deadline_ms - now_ms, MAX_ISOLATION_HOLD_MS)
+        if self.isolated_request is not None or until_empty_ms > available_ms:
             return self._reject(ErrorKind.OVERLOADED, MAX_ISOLATION_HOLD_MS)
-        return self._start_isolated(ticket, now_ms)
+        return self._start_isolated(request, now_ms)
 
-    def _acquire(self, ticket: AdmissionRequest) -> None:
-        self.running.add(ticket)
-        if ticket.brief:
-            assert ticket.started_ms is not None
-            self.brief_work.on_start(ticket.route, ticket.started_ms)
+    def _acquire(self, request: AdmissionRequest) -> None:
+        self.running.add(request)
+        if request.brief:
+            assert request.started_ms is not None
+            self.brief_work.on_start(request.route, request.started_ms)
 
-    def _release(self, ticket: AdmissionRequest) -> None:
-        self.running.discard(ticket)
+    def _release(self, request: AdmissionRequest) -> None:
+        self.running.discard(request)
 
-    def _remove_queued(self, ticket: AdmissionRequest) -> None:
-        if ticket in self.queue:
-            self.queue.remove(ticket)
+    def _remove_queued(self, request: AdmissionRequest) -> None:
+        if request in self.queue:
+            self.queue.remove(request)
 
     def _start_queued(self, now_ms: float) -> Iterator[AdmissionRequest]:
         while self.queue and self._has_slot():
-            ticket = min(self.queue, key=lambda item: self._rank(item, now_ms))
-            self.queue.remove(ticket)
-            self._start(ticket, now_ms)
-            yield ticket
+            request = min(
+                self.queue, key=lambda item: self._sort_key(item, now_ms)
+            )
+            self.queue.remove(request)
+            self._start(request, now_ms)
+            yield request
 
     def _drop_queued(self, now_ms: float) -> list[AdmissionRequest]:
-        # Its caller learns now, and not at its deadline, that it will not run.
+        # The caller of a dropped request gets its error now instead of at its
+        # deadline.
         dropped = self._expected_to_time_out(now_ms)
-        for ticket in dropped:
-            self.queue.remove(ticket)
-        surplus = self._excess_past_objective(now_ms)
-        for ticket in surplus:
-            self.queue.remove(ticket)
-        return dropped + surplus
+        for request in dropped:
+            self.queue.remove(request)
+        excess = self._excess_past_objective(now_ms)
+        for request in excess:
+            self.queue.remove(request)
+        return dropped + excess
 
     def _expected_to_time_out(self, now_ms: float) -> list[AdmissionRequest]:
-        # Later arrivals with a better rank lengthen the wait estimated on
-        # arrival, so it is estimated again for the whole queue.
+        # Later arrivals with a better rank lengthen the wait that was estimated
+        # on arrival, so the wait is estimated again for the whole queue.
         if not self.queue:
             return []
-        giving_up = []
-        queue_wait_ms = self._first_free_ms(now_ms)
+        timing_out = []
+        queue_wait_ms = self._slot_wait_ms(now_ms)
         slots = max(1, self.limit.current)
-        ranked = [(self._rank(item, now_ms), item) for item in self.queue]
-        for rank, ticket in sorted(ranked, key=lambda pair: pair[0]):
-            wait_ms = self._wait_with_overtaking_ms(rank, queue_wait_ms, now_ms)
-            if self._would_give_up(ticket, wait_ms, now_ms):
-                giving_up.append(ticket)
+        keyed = [(self._sort_key(item, now_ms), item) for item in self.queue]
+        for key, request in sorted(keyed, key=lambda pair: pair[0]):
+            wait_ms = self._wait_with_overtaking_ms(key, queue_wait_ms, now_ms)
+            if self._would_time_out(request, wait_ms, now_ms):
+                timing_out.append(request)
             else:
-                queue_wait_ms += self.expected_ms(ticket, now_ms) / slots
-        return giving_up
+                queue_wait_ms += self.expected_ms(request, now_ms) / slots
+        return timing_out
 
     def _excess_past_objective(self, now_ms: float) -> list[AdmissionRequest]:
-        # What was in time when it came and has become late since would be
-        # overtaken by every newcomer until its half time is over.
-        late = [item for item in self.queue if self._is_late(item, now_ms)]
-        late.sort(key=lambda item: self._rank(item, now_ms))
-        return late[self._may_be_late() :]
+        # A request that could meet its objective on arrival and no longer can
+        # would be overtaken by every new request until its maximum wait ends.
+        past_objective = [
+            item
+            for item in self.queue
+            if self._will_miss_objective(item, now_ms)
+        ]
+        past_objective.sort(key=lambda item: self._sort_key(item, now_ms))
+        return past_objective[self._max_past_objective() :]
 
-    def _may_be_late(self) -> int:
-        return max(1, self.limit.current // LATE_PART)
+    def _max_past_objective(self) -> int:
+        return max(1, self.limit.current // PAST_OBJECTIVE_QUEUE_DIVISOR)
 
     def _decline(self, wait_ms: float) -> Rejected:
-        # The sender compares the waits of several targets, so it is told this
-        # one as it is and not spread over the time in which callers return.
+        # The sending node compares the waits of several targets, so it gets the
+        # exact wait, without the jitter that spreads the retries of callers.
         self.declined += 1
         return Rejected(ErrorKind.OVERLOADED, max(1, round(wait_ms)))
 
     def _add_service_time(
-        self, ticket: AdmissionRequest, took_ms: float, now_ms: float
+        self, request: AdmissionRequest, took_ms: float, now_ms: float
     ) -> None:
-        self.service_times.add(ticket.route, took_ms, now_ms)
+        self.service_times.add(request.route, took_ms, now_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/_rank_load.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_rank_load.py
@@ -1,25 +1,27 @@
-"""How much of a target goes to requests that overtake others in its queue."""
+"""Load of a target by requests that overtake others in its queue."""
 
 import math
 from typing import NamedTuple
 
 import attrs
 
-# Requests of the last second or so tell what will come in the next tenths, for
-# which a request may wait: less is noise at ten requests a second, and more
-# would keep a burst in mind that has passed.
+# Time constant of the decay. Requests of about the last second predict the load
+# of the next tenths of a second, the time for which a request may wait. A
+# shorter time is noise at ten requests a second; a longer time would still
+# count a burst that has passed.
 DECAY_TIME_MS = 1000.0
-# Part of the slots that overtaking requests leave at the least. At nothing at
-# all every wait would be endless and no measurement could correct that.
+# Minimum fraction of the slots that overtaking requests are assumed to leave.
+# With 0 every expected wait would be infinite, all requests would be rejected,
+# and no measurement could correct the estimate.
 MIN_AVAILABLE_FRACTION = 0.02
 
 
 class Rank(NamedTuple):
-    """Order in which requests get slots; the lower one goes first.
+    """Order in which requests get slots; a lower rank goes first.
 
     Attributes:
         priority: Priority of the route; 0 is the most urgent.
-        past_objective: Whether the answer can no longer be in time.
+        past_objective: Whether the request can no longer meet its objective.
     """
 
     priority: int
@@ -28,51 +30,51 @@
 
 @attrs.define
 class DecayingSum:
-    """Slot time that fades.
+    """Exponentially decaying sum of slot time.
 
     Attributes:
-        value_ms: What is left of it.
-        at_ms: When that was.
+        value_ms: The sum at its last update.
+        at_ms: Time of the last update.
     """
 
     value_ms: float = 0.0
     at_ms: float = 0.0
 
     def at(self, now_ms: float) -> float:
-        """Returns what is left of it now."""
+        """Returns the decayed sum at a time, in ms."""
         age_ms = max(0.0, now_ms - self.at_ms)
         return self.value_ms * math.exp(-age_ms / DECAY_TIME_MS)
 
     def add(self, work_ms: float, now_ms: float) -> None:
-        """Adds slot time."""
+        """Adds slot time to the sum."""
         self.value_ms = self.at(now_ms) + work_ms
         self.at_ms = now_ms
 
 
 @attrs.define
 class RankLoad:
-    """Slot time that each rank has been given lately.
+    """Slot time that each rank was given recently.
 
-    Made for a target that is asked for more than it can do while urgent work
-    keeps coming. A queue's length alone says that the last request waits for
-    those before it; but all that comes meanwhile with a better rank goes first
-    as well. With two thirds of the slots taken like this, the wait is three
-    times as long. One notices by requests that are taken in and refused only
-    after a third of a second, when nothing can be done with the answer any
-    more.
+    Handles an overloaded target that keeps receiving urgent requests. A wait
+    estimated from the queue's length covers only the requests already queued,
+    but later arrivals with a better rank start first as well. If these take two
+    thirds of the slots, the wait is three times as long. Without this measure
+    requests are queued and then rejected after a third of a second, too late
+    for their callers to use another target. Admission therefore divides the
+    wait by the fraction of the slots that better ranks leave free.
 
     Attributes:
-        by_rank: Slot time by rank.
+        by_rank: Recent slot time by rank.
     """
 
     by_rank: dict[Rank, DecayingSum] = attrs.field(factory=dict)
 
     def add(self, rank: Rank, work_ms: float, now_ms: float) -> None:
-        """Takes a request that was let in.
+        """Adds the slot time of an admitted request.
 
         Args:
-            rank: Its rank.
-            work_ms: Time that it will probably take of a slot.
+            rank: Rank of the request.
+            work_ms: Expected slot time of the request.
             now_ms: Current time.
         """
         self.by_rank.setdefault(rank, DecayingSum()).add(work_ms, now_ms)
@@ -80,7 +82,7 @@
     def available_fraction(
         self, rank: Rank, slots: int, now_ms: float
     ) -> float:
-        """Returns the part of the slots that better ranks leave to one.
+        """Returns the fraction of the slots that better ranks leave to a rank.
 
         >>> load = RankLoad()
         >>> load.add(Rank(0, False), 6000.0, now_ms=0.0)
@@ -89,13 +91,13 @@
 
         Args:
             rank: The rank.
-            slots: Requests that the target runs at once.
+            slots: Maximum number of concurrent requests at the target.
             now_ms: Current time.
         """
-        before_ms = sum(
-            taken.at(now_ms)
-            for other, taken in self.by_rank.items()
+        better_ms = sum(
+            slot_time.at(now_ms)
+            for other, slot_time in self.by_rank.items()
             if other < rank
         )
-        part = before_ms / DECAY_TIME_MS / max(1, slots)
-        return max(MIN_AVAILABLE_FRACTION, 1.0 - part)
+        used_fraction = better_ms / DECAY_TIME_MS / max(1, slots)
+        return max(MIN_AVAILABLE_FRACTION, 1.0 - used_fraction)
--- a/packages/pomelobank-core/src/pomelobank_core/_rejections.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_rejections.py
@@ -1,26 +1,26 @@
-"""When a refused caller is told to come back."""
+"""Rejections with a randomised time to retry after."""
 
 import random
 
 from pomelobank_core._admission_request import Rejected
 from pomelobank_core._errors import ErrorKind
 
-# Sooner than this a caller would meet the same queue again.
+# Bounds of the retry delay. An earlier retry would meet the same queue again.
 MIN_RETRY_AFTER_MS = 50
 MAX_RETRY_AFTER_MS = 30_000
 
 
 def rejection(kind: ErrorKind, wait_ms: float, rng: random.Random) -> Rejected:
-    """Returns a refusal that spreads the callers' return.
+    """Returns a rejection with jitter in its retry delay.
 
-    Told the same time, all those refused in one burst would come back as the
-    next burst; so each gets once to twice the wait.
+    With the same delay, all callers rejected in one burst would retry as the
+    next burst; each delay is therefore one to two times the wait.
 
     Args:
-        kind: Why the request is refused.
-        wait_ms: Time until there is likely to be room.
-        rng: Source of randomness.
+        kind: Error kind of the rejection.
+        wait_ms: Time until a slot is likely to be free.
+        rng: Random number generator.
     """
-    spread_ms = wait_ms * rng.uniform(1.0, 2.0)
-    within_ms = min(max(spread_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
-    return Rejected(kind, int(within_ms))
+    jittered_ms = wait_ms * rng.uniform(1.0, 2.0)
+    bounded_ms = min(max(jittered_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
+    return Rejected(kind, int(bounded_ms))
--- a/packages/pomelobank-core/src/pomelobank_core/_route_times.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_route_times.py
@@ -1,86 +1,92 @@
-"""How long work of each route takes at one target, lately."""
+"""Recent service times of each route at one target."""
 
 import attrs
 
 from pomelobank_core._latency import MAX_ROUTES
 
-# Taken for a route's time before the first was measured.
-UNMEASURED_MS = 100.0
-# Share of a new sample.
-WEIGHT = 0.1
-# Share of one that took less than half the usual time: a target that works
-# again after it stood still has to show within a few answers.
-RECOVERED_WEIGHT = 0.4
-# A sample counts as so many times the usual time at most: one request in a
-# hundred takes that long, and a pause of the machine longer still.
-MOST_TIMES = 4.0
-# Age at which a measured time begins to count for less; it halves with each
-# such time. A route of one request a second is measured well within it.
-FORGET_MS = 1000.0
+# Expected time of a route without measurements.
+DEFAULT_EXPECTED_MS = 100.0
+# Weight of a new sample in the average.
+SAMPLE_WEIGHT = 0.1
+# Weight of a sample of less than half the expected time. The average of a
+# target that recovers from a stall must fall within a few responses.
+RECOVERY_SAMPLE_WEIGHT = 0.4
+# Maximum value of a sample, as a multiple of the expected time: one request in
+# a hundred takes that long, and a pause of the machine takes even longer.
+MAX_SAMPLE_RATIO = 4.0
+# Age after which an average without new samples decays, and the half-life of
+# the decay. A route with one request a second gets its samples well within it.
+HALF_LIFE_MS = 1000.0
 
 
 @attrs.define
 class RouteTime:
-    """Recent time of one route.
+    """Moving average of one route's time.
 
     Attributes:
-        value_ms: The time.
-        at_ms: When it was measured last.
+        value_ms: Average at the last sample.
+        at_ms: Time of the last sample.
     """
 
     value_ms: float
     at_ms: float
 
     def at(self, now_ms: float) -> float:
-        """Returns the time, less of it the longer nothing was measured."""
+        """Returns the average, decayed by the time without samples, in ms."""
         age_ms = now_ms - self.at_ms
-        if age_ms <= FORGET_MS:
+        if age_ms <= HALF_LIFE_MS:
             return self.value_ms
-        faded = float(self.value_ms * 0.5 ** (age_ms / FORGET_MS))
-        return max(faded, min(UNMEASURED_MS, self.value_ms))
+        decayed = float(self.value_ms * 0.5 ** (age_ms / HALF_LIFE_MS))
+        return max(decayed, min(DEFAULT_EXPECTED_MS, self.value_ms))
 
     def add(self, sample_ms: float, now_ms: float) -> None:
-        """Takes a sample."""
-        usual_ms = self.at(now_ms)
-        sample_ms = min(sample_ms, MOST_TIMES * usual_ms)
-        recovered = sample_ms < usual_ms / 2
-        weight = RECOVERED_WEIGHT if recovered else WEIGHT
-        self.value_ms = usual_ms + weight * (sample_ms - usual_ms)
+        """Adds a sample to the average."""
+        average_ms = self.at(now_ms)
+        sample_ms = min(sample_ms, MAX_SAMPLE_RATIO * average_ms)
+        recovered = sample_ms < average_ms / 2
+        weight = RECOVERY_SAMPLE_WEIGHT if recovered else SAMPLE_WEIGHT
+        self.value_ms = average_ms + weight * (sample_ms - average_ms)
         self.at_ms = now_ms
 
 
 @attrs.define
 class RouteTimes:
-    """Recent times of the routes of one target.
+    """Recent times of the routes of one target, to plan admission with.
 
-    Made for planning what a target can still do in time. A plain average
-    follows a moment in which the target stood still for hundreds of answers.
-    Every request of the route is refused meanwhile as hopeless, and what never
-    runs is never measured again; one notices by a route that one target
-    refuses for good. So long samples are cut, much shorter ones count for
-    more, and what was not measured for long fades.
+    Handles a target that stalls for a moment. A plain average would remain high
+    for hundreds of responses after the stall. Meanwhile every request of the
+    route would be rejected because its expected end is past its deadline, and
+    without requests there would be no new measurements: the target would reject
+    the route permanently. Long samples are therefore capped, much shorter
+    samples get a higher weight, and an average without new samples decays.
 
     Attributes:
-        by_route: Times by route.
+        by_route: Average times by route.
     """
 
     by_route: dict[str, RouteTime] = attrs.field(factory=dict)
 
     def expected_ms(self, route: str, now_ms: float) -> float:
-        """Returns the usual time of a route, in ms."""
-        found = self.by_route.get(route)
-        return UNMEASURED_MS if found is None else found.at(now_ms)
+        """Returns the expected time of a route in ms."""
+        route_time = self.by_route.get(route)
+        return (
+            DEFAULT_EXPECTED_MS if route_time is None else route_time.at(now_ms)
+        )
 
     def max_expected_ms(self, now_ms: float) -> float:
-        """Returns the slowest route's usual time in ms; 0 without routes."""
-        times = (found.at(now_ms) for found in self.by_route.values())
-        return max(times, default=0.0)
+        """Returns the slowest route's expected time in ms; 0 without routes."""
+        expected_times = (
+            route_time.at(now_ms) for route_time in self.by_route.values()
+        )
+        return max(expected_times, default=0.0)
 
     def add(self, route: str, took_ms: float, now_ms: float) -> None:
-        """Takes the time of one request that ran to its end."""
-        found = self.by_route.get(route)
-        if found is None:
+        """Adds the time of a request that ran to its end."""
+        route_time = self.by_route.get(route)
+        if route_time is None:
             if len(self.by_route) >= MAX_ROUTES:
                 return
-            found = self.by_route[route] = RouteTime(UNMEASURED_MS, now_ms)
-        found.add(took_ms, now_ms)
+            route_time = self.by_route[route] = RouteTime(
+                DEFAULT_EXPECTED_MS, now_ms
+            )
+        route_time.add(took_ms, now_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/_slot_sharing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_slot_sharing.py
@@ -1,4 +1,4 @@
-"""Policies of how classes of requests share the slots of a target."""
+"""Policies by which traffic classes share the slots of a target."""
 
 import functools
 from collections import deque
@@ -10,16 +10,16 @@
 from pomelobank_core._concurrency import ConcurrencyLimit
 
 _PERCENT = 100
-_URGENCY = tuple(TrafficClass)
+_BY_URGENCY = tuple(TrafficClass)
 
 
 class Slots(Protocol):
-    """The slots of a target and who is in them, as far as policies look.
+    """State of a target's slots and queues that the policies read.
 
     Attributes:
-        limit: Requests tried at once.
-        running: Requests at the target, by class.
-        queues: Waiting requests, by class.
+        limit: Limit of concurrent requests at the target.
+        running: Number of requests at the target, by class.
+        queues: Queued requests, by class.
     """
 
     limit: ConcurrencyLimit
@@ -28,58 +28,58 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests at the target."""
+        """Number of requests at the target."""
 
     def reserved(self, traffic_class: TrafficClass, now_ms: float) -> int:
-        """Returns the slots kept free for a class just now."""
+        """Returns the number of slots now reserved for a class."""
 
 
 @attrs.frozen
 class GuaranteedShared:
-    """Each class has a part of its own; the rest is for all.
+    """Guarantees each class some slots; all classes share the others.
 
     Attributes:
-        percent: Guaranteed part of each class, of the slots.
+        percent: Guaranteed percentage of the slots, by class.
     """
 
     percent: dict[TrafficClass, int]
 
     def slots_for(self, traffic_class: TrafficClass, limit: int) -> int:
-        """Returns the slots that are guaranteed to a class.
+        """Returns the number of slots that are guaranteed to a class.
 
-        With few slots the most urgent classes get theirs first, and one slot
-        is always shared. A target that sheds may be down to two slots; look-ups
-        must not wait behind reports just then.
+        With few slots the most urgent classes get a guaranteed slot first, and
+        one slot is always shared. The limit of a target that sheds load may be
+        down to two slots, and look-ups must not wait behind reports then.
         """
-        if limit <= _URGENCY.index(traffic_class) + 1:
+        if limit <= _BY_URGENCY.index(traffic_class) + 1:
             return 0
         return max(1, limit * self.percent[traffic_class] // _PERCENT)
 
 
 @attrs.frozen
 class FixedPartition:
-    """Each class has its part and never more; a baseline.
+    """Limits each class to a fixed share of the slots; a baseline.
 
     Attributes:
-        percent: Relative parts of the classes.
+        percent: Relative share of each class.
     """
 
     percent: dict[TrafficClass, int]
 
     def slots_for(self, traffic_class: TrafficClass, limit: int) -> int:
-        """Returns the slots of a class."""
-        share = limit * self.percent[traffic_class]
-        return max(1, share // sum(self.percent.values()))
+        """Returns the number of slots of a class."""
+        weighted = limit * self.percent[traffic_class]
+        return max(1, weighted // sum(self.percent.values()))
 
 
 @attrs.frozen
 class FirstCome:
-    """All requests wait in one queue, whatever their class; a baseline."""
+    """Serves requests of all classes in order of arrival; a baseline."""
 
 
 @attrs.frozen
 class Unlimited:
-    """Every request goes to the target at once; a baseline."""
+    """Sends every request to the target without a limit; a baseline."""
 
 
 AdmissionPolicy = GuaranteedShared | FixedPartition | FirstCome | Unlimited
@@ -92,7 +92,7 @@
     traffic_class: TrafficClass,
     now_ms: float,
 ) -> bool:
-    """Tells whether a class may take one more slot."""
+    """Tells whether a request of a class may take a slot now."""
     raise NotImplementedError(type(policy).__name__)
 
 
@@ -108,11 +108,11 @@
         return False
     if state.running[traffic_class] < state.reserved(traffic_class, now_ms):
         return True
-    shared = limit
+    shared_slots = limit
     for other in TrafficClass:
-        kept = state.reserved(other, now_ms)
-        shared -= max(kept, state.running[other])
-    return shared > 0
+        reserved_slots = state.reserved(other, now_ms)
+        shared_slots -= max(reserved_slots, state.running[other])
+    return shared_slots > 0
 
 
 @may_start.register
@@ -122,10 +122,10 @@
     traffic_class: TrafficClass,
     now_ms: float,
 ) -> bool:
-    part = policy.slots_for(traffic_class, state.limit.current)
+    share = policy.slots_for(traffic_class, state.limit.current)
     if state.in_flight >= state.limit.current:
         return False
-    return state.running[traffic_class] < part
+    return state.running[traffic_class] < share
 
 
 @may_start.register
@@ -151,7 +151,7 @@
 def queued_ahead(
     policy: AdmissionPolicy, state: Slots, traffic_class: TrafficClass
 ) -> int:
-    """Returns how many requests wait in front of a new one of a class."""
+    """Returns the number of requests queued before a new one of a class."""
     if isinstance(policy, FirstCome):
         return sum(len(queue) for queue in state.queues.values())
     return len(state.queues[traffic_class])
@@ -160,7 +160,7 @@
 def next_class(
     policy: AdmissionPolicy, state: Slots, now_ms: float
 ) -> TrafficClass | None:
-    """Returns the class whose first waiting request starts next, if any."""
+    """Returns the class whose first queued request starts next, if any."""
     ready = [
         traffic_class
         for traffic_class, queue in state.queues.items()
@@ -170,8 +170,8 @@
         return None
     if isinstance(policy, FirstCome):
         return min(ready, key=lambda item: state.queues[item][0].offered_ms)
-    # A class below its guaranteed part goes first; the shared rest then goes
-    # to the most urgent class. Batch work is not starved: it has its part.
+    # A class below its guaranteed slots goes first; the shared slots then go to
+    # the most urgent class. Guaranteed slots keep batch work from starving.
     return min(
         ready,
         key=lambda item: state.running[item] >= state.reserved(item, now_ms),
@@ -184,25 +184,25 @@
     traffic_class: TrafficClass,
     now_ms: float,
 ) -> dict[TrafficClass, int]:
-    """Returns the busy slots whose end lets a class's next request start.
+    """Returns the busy slots whose release lets a class's next request start.
 
     Args:
         policy: How classes share the slots.
         state: The slots.
-        traffic_class: The class that waits.
+        traffic_class: The class whose request is queued.
         now_ms: Current time.
 
     Returns:
-        Slots by the class that runs in them. Their number divided by that
-        class's service time is the rate at which the queue moves on.
+        Number of slots by the class that runs in them. Each number divided by
+        its class's service time, summed, is the rate at which the queue drains.
     """
     running = dict(state.running)
     if isinstance(policy, FirstCome) or not running[traffic_class]:
         return running
-    own = {traffic_class: running[traffic_class]}
+    usable = {traffic_class: running[traffic_class]}
     if not isinstance(policy, GuaranteedShared):
-        return own
-    for other in _URGENCY[_URGENCY.index(traffic_class) + 1 :]:
-        # Shared slots under less urgent work pass to this class as they end.
-        own[other] = max(0, running[other] - state.reserved(other, now_ms))
-    return own
+        return usable
+    for other in _BY_URGENCY[_BY_URGENCY.index(traffic_class) + 1 :]:
+        # Shared slots with less urgent work go to this class once released.
+        usable[other] = max(0, running[other] - state.reserved(other, now_ms))
+    return usable
