--- a/packages/pomelobank-core/src/pomelobank_core/_clock.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_clock.py
@@ -1,4 +1,4 @@
-"""The one clock type of the project; every time is in milliseconds."""
+"""Clock protocol of the whole project; every time is in milliseconds."""
 
 from typing import Protocol
 
@@ -6,21 +6,21 @@
 
 
 class Clock(Protocol):
-    """Tells the time in milliseconds."""
+    """Source of monotonic and wall-clock time in ms."""
 
     def now_ms(self) -> int:
-        """Returns a time that never goes back, for durations and deadlines."""
+        """Returns the monotonic time, for durations and deadlines."""
 
     def wall_ms(self) -> int:
-        """Returns the time since the epoch, for people and audit entries."""
+        """Returns the time since the Unix epoch, for logs and audit entries."""
 
 
 @attrs.define
 class ManualClock:
-    """A clock that a test moves by hand.
+    """A clock that a test advances explicitly.
 
     Attributes:
-        current_ms: The time that both methods tell.
+        current_ms: Time that both methods return.
 
     >>> clock = ManualClock(current_ms=5)
     >>> clock.advance(10)
@@ -39,5 +39,5 @@
         return self.current_ms
 
     def advance(self, by_ms: int) -> None:
-        """Moves the clock forward."""
+        """Advances the clock."""
         self.current_ms += by_ms
--- a/packages/pomelobank-core/src/pomelobank_core/_errors.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and what a caller is answered for each."""
+"""All kinds of errors and the response that a caller gets for each."""
 
 import enum
 
@@ -6,12 +6,12 @@
 
 
 class RunState(enum.Enum):
-    """What is known about whether a request ran.
+    """Whether a request ran, as far as the node knows.
 
     Attributes:
-        NOT_RUN: No byte of it reached an upstream; sending it again is safe.
-        UNKNOWN: Bytes may have reached an upstream.
-        RAN: An upstream ran it.
+        NOT_RUN: No byte of the request reached an upstream; a retry is safe.
+        UNKNOWN: Bytes of the request may have reached an upstream.
+        RAN: An upstream ran the request.
     """
 
     NOT_RUN = "not-run"
@@ -20,7 +20,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """Every way in which the system itself ends a request."""
+    """Kinds of errors with which the mesh itself ends a request."""
 
     BAD_REQUEST = "bad_request"
     HEAD_TOO_LARGE = "head_too_large"
@@ -55,13 +55,13 @@
 
 @attrs.frozen
 class ErrorResponse:
-    """What the caller is told for an error kind.
+    """Response to the caller for an error kind.
 
     Attributes:
         status: HTTP status.
         run_state: Whether the request ran.
-        retry_after_ms: When coming back is worthwhile, where the error itself
-            carries no better time; 0 where coming back does not help.
+        retry_after_ms: Delay before a retry, unless the error itself carries a
+            better one; 0 if a retry does not help.
         message: One sentence for people.
     """
 
--- a/packages/pomelobank-core/src/pomelobank_core/_exchange.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_exchange.py
@@ -1,8 +1,8 @@
-"""Which outcome follows from which events on one stream between two nodes.
+"""State of the requests on one stream between two nodes.
 
-The node that sends requests keeps one `ExchangeTable` a stream. Frames that
-belong to no request under way are dropped and counted here, so that an answer
-that is late, crossed or sent twice cannot reach another caller.
+The node that sends requests keeps one `ExchangeTable` for each stream. The
+table drops and counts frames that belong to no request in progress, so that a
+response that is late, misaddressed or sent twice cannot reach another caller.
 """
 
 import enum
@@ -14,12 +14,12 @@
 
 
 class ExchangeState(enum.Enum):
-    """How far a request on a stream has come.
+    """Progress of a request on a stream.
 
     Attributes:
-        QUEUED: No byte of it has been handed to the connection.
-        SENT: The peer may have it.
-        RESPONDING: Its answer has begun and is not whole yet.
+        QUEUED: No byte of the request has been handed to the connection.
+        SENT: The peer may have received the request.
+        RESPONDING: The response has begun and is not complete yet.
     """
 
     QUEUED = "queued"
@@ -28,11 +28,11 @@
 
 
 class FrameDecision(enum.Enum):
-    """What to do with a frame that came in.
+    """How a received frame is handled.
 
     Attributes:
-        DELIVER: It belongs to a request under way.
-        DROP: Nobody waits for it any more, or never did.
+        DELIVER: The frame belongs to a request in progress.
+        DROP: The frame's request has ended or never existed.
         VIOLATION: The peer broke the protocol; the stream must be closed.
     """
 
@@ -46,8 +46,8 @@
     """One request on a stream.
 
     Attributes:
-        state: How far it has come.
-        credit: Bytes of its answer that the peer may still send.
+        state: Progress of the request.
+        credit: Bytes of the response that the peer may still send.
     """
 
     state: ExchangeState
@@ -56,19 +56,19 @@
 
 @attrs.define
 class ExchangeTable:
-    """Every request under way on one stream, as its sender sees them.
+    """The sender's view of all requests in progress on one stream.
 
-    Request ids grow and are never used again, so an id that is not in the
-    table is over for good.
+    Request ids grow and are never reused, so a request whose id is no longer in
+    the table cannot get another frame.
 
     Attributes:
-        window: Bytes of an answer that the peer may send before it is granted
-            more.
+        window: Initial credit: bytes of a response that the peer may send
+            before it is granted more.
         next_id: Id of the next request.
-        exchanges: Requests under way, by id.
-        late_frames: Frames for requests that had ended.
-        unknown_frames: Frames for requests that were never sent.
-        violations: Frames that broke the protocol.
+        exchanges: Requests in progress, by id.
+        late_frames: Number of frames for requests that had ended.
+        unknown_frames: Number of frames for requests that were never sent.
+        violations: Number of frames that broke the protocol.
     """
 
     window: int
@@ -86,20 +86,20 @@
         return request_id
 
     def on_written(self, request_id: int) -> None:
-        """Notes that bytes of a request were handed to the connection."""
+        """Records that bytes of a request were handed to the connection."""
         exchange = self.exchanges.get(request_id)
         if exchange is not None and exchange.state is ExchangeState.QUEUED:
             exchange.state = ExchangeState.SENT
 
     def on_reply(self, request_id: int, more: bool) -> FrameDecision:
-        """Takes the reply of a request.
+        """Handles the reply to a request.
 
         Args:
-            request_id: Id that the reply names.
-            more: Whether chunks of the answer follow.
+            request_id: Request id of the reply.
+            more: Whether chunks of the response follow.
 
         Returns:
-            What to do with it.
+            How the reply is handled.
         """
         exchange = self.exchanges.get(request_id)
         if exchange is None:
@@ -115,16 +115,16 @@
     def on_chunk(
         self, request_id: int, size: int, more: bool, aborted: bool
     ) -> FrameDecision:
-        """Takes a chunk of an answer.
+        """Handles a chunk of a response.
 
         Args:
-            request_id: Id that the chunk names.
-            size: Its bytes.
+            request_id: Request id of the chunk.
+            size: Size of the chunk in bytes.
             more: Whether further chunks follow.
-            aborted: Whether the peer gave up in the middle.
+            aborted: Whether the peer ended the response before its end.
 
         Returns:
-            What to do with it.
+            How the chunk is handled.
         """
         exchange = self.exchanges.get(request_id)
         if exchange is None:
@@ -133,21 +133,22 @@
             return self._violation()
         exchange.credit -= size
         if exchange.credit < 0:
-            # A peer that ignores credit would fill this node's memory.
+            # A peer that ignores its credit could fill this node's memory.
             return self._violation()
         if aborted or not more:
             del self.exchanges[request_id]
         return FrameDecision.DELIVER
 
     def grant_credit(self, request_id: int, size: int) -> bool:
-        """Lets the peer send more of an answer.
+        """Grants the peer more credit for a response.
 
         Args:
             request_id: Id of the request.
-            size: Bytes in addition.
+            size: Additional bytes.
 
         Returns:
-            Whether the peer has to be told, because the answer is under way.
+            Whether the credit must be sent to the peer, because the request is
+            still in progress.
         """
         exchange = self.exchanges.get(request_id)
         if exchange is None:
@@ -156,13 +157,13 @@
         return True
 
     def on_credit(self, request_id: int) -> FrameDecision:
-        """Takes the peer's leave to send more of a request's body."""
+        """Handles credit from the peer for more of a request's body."""
         if request_id in self.exchanges:
             return FrameDecision.DELIVER
         return self._drop(request_id)
 
     def on_slot_offer(self, request_id: int) -> FrameDecision:
-        """Takes the peer's offer of a slot for a request that binds late."""
+        """Handles the peer's offer of a slot for a late-binding request."""
         exchange = self.exchanges.get(request_id)
         if exchange is None:
             return self._drop(request_id)
@@ -171,37 +172,38 @@
         return FrameDecision.DELIVER
 
     def cancel(self, request_id: int) -> ExchangeState | None:
-        """Ends a request that its caller gave up or whose deadline passed.
+        """Ends a request that was cancelled or whose deadline passed.
 
         Returns:
-            How far it had come; None where it had ended already. The peer has
-            to be told unless it was still queued.
+            Progress of the request; None if the request had ended already. The
+            peer must be notified unless the request was still queued.
         """
         exchange = self.exchanges.pop(request_id, None)
         return None if exchange is None else exchange.state
 
     def on_stream_closing(self, last_id: int) -> list[int]:
-        """Ends the requests that a stopping peer says it never took.
+        """Ends the requests that a stopping peer did not accept.
 
         Args:
-            last_id: Highest id that the peer took.
+            last_id: Highest id that the peer accepted.
 
         Returns:
-            Ids of requests that did not run.
+            Ids of the requests that did not run.
         """
-        refused = [
+        not_run = [
             request_id for request_id in self.exchanges if request_id > last_id
         ]
-        for request_id in refused:
+        for request_id in not_run:
             del self.exchanges[request_id]
-        return refused
+        return not_run
 
     def on_stream_lost(self) -> Iterator[tuple[int, ErrorKind]]:
         """Ends every request because the stream broke.
 
         Yields:
-            Id and error kind of each: a request of which no byte was handed
-            to the connection did not run, of the others nobody can know.
+            Id and error kind of each request. A request of which no byte was
+            handed to the connection did not run; for the other requests the
+            node cannot know whether they ran.
         """
         exchanges, self.exchanges = self.exchanges, {}
         for request_id, exchange in exchanges.items():
@@ -243,21 +245,22 @@
 
 @attrs.define
 class FrameAge:
-    """Tells how long a frame was under way, without a common clock.
+    """Estimates how long a frame was delayed, without synchronised clocks.
 
-    A node that was paused finds old requests in its socket. Run now, they
-    would run after their callers gave up. The difference between receiving
-    and sending time, less the least difference seen on the stream, is the time
-    that a frame lost on its way or in a paused process.
+    A node whose process was paused finds old requests in its socket; without
+    their age the node would run them after their callers have given up. The
+    difference between receiving and sending time, less the minimum difference
+    on the stream, is the time that a frame was delayed on the network or in a
+    paused process.
 
-    The least difference is taken over the last one to two periods, because the
-    two clocks drift apart and a minimum kept for ever would grow stale.
+    The minimum covers the last one to two periods only: the two clocks drift
+    apart, so against an older minimum every frame would look delayed.
 
     Attributes:
         period_ms: Length of a period in ms.
-        current_least: Least difference of the period that runs, in ms.
-        previous_least: Least difference of the period before it, in ms.
-        period_began_ms: When the period that runs began.
+        current_least: Minimum difference of the current period, in ms.
+        previous_least: Minimum difference of the previous period, in ms.
+        period_began_ms: Start of the current period.
     """
 
     period_ms: int = 60_000
@@ -266,23 +269,23 @@
     period_began_ms: int = 0
 
     def age_ms(self, sent_ms: int, received_ms: int) -> int:
-        """Returns how long a frame was held up, in ms.
+        """Returns how long a frame was delayed, in ms.
 
         Args:
-            sent_ms: Sender's clock when it was sent.
-            received_ms: Own clock when it was received.
+            sent_ms: Sender's clock when the frame was sent.
+            received_ms: This node's clock when the frame was received.
 
         Returns:
-            Its age beyond the usual way; 0 for the fastest frame seen.
+            Delay beyond that of the fastest recent frame; 0 for the fastest.
         """
-        difference = received_ms - sent_ms
+        difference_ms = received_ms - sent_ms
         if received_ms - self.period_began_ms >= self.period_ms:
             self.previous_least = self.current_least
             self.current_least = None
             self.period_began_ms = received_ms
-        if self.current_least is None or difference < self.current_least:
-            self.current_least = difference
-        least = self.current_least
+        if self.current_least is None or difference_ms < self.current_least:
+            self.current_least = difference_ms
+        min_difference_ms = self.current_least
         if self.previous_least is not None:
-            least = min(least, self.previous_least)
-        return difference - least
+            min_difference_ms = min(min_difference_ms, self.previous_least)
+        return difference_ms - min_difference_ms
--- a/packages/pomelobank-core/src/pomelobank_core/_hedging.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_hedging.py
@@ -1,31 +1,32 @@
-"""Decides when an unanswered request is sent to a second target as well."""
+"""Decides when a request without a response is sent to a second target."""
 
 import attrs
 
 from pomelobank_core._route_times import RouteTimes
 
-# Times the usual time of its route that a request is waited for. At two and a
-# half times, about one sound request in thirty is sent twice, and the second
-# answer still comes within the aims of the users' routes, which are three times
-# the usual time.
-HEDGE_TIMES = 2.5
-# For the way there and back, so that very short work is not sent twice for a
-# packet that was repeated.
-HEDGE_MS = 20.0
+# Hedging delay as a multiple of the route's expected response time. At two and
+# a half times, about one request in thirty is hedged although its target is
+# healthy, and the second response still comes within the objectives of the
+# users' routes, which are three times the expected time.
+HEDGE_DELAY_FACTOR = 2.5
+# Added to the hedging delay for the network round trip, so that a retransmitted
+# packet does not cause a hedged request of very short work.
+HEDGE_MARGIN_MS = 20.0
 
 
 @attrs.define
 class Hedging:
-    """Knows how long answers take, and when one is overdue.
+    """Measures response times and returns the delay of hedged requests.
 
-    Made for a target that has turned slow, for an answer that was lost on its
-    way and for a peer that went silent without a sign. The request would wait
-    for its deadline; its caller notices by an answer that never comes although
-    other targets stand idle. Only work that may run twice is sent again, only
-    to a target with room, and only within the budget of retries.
+    Handles a target that became slow, a response lost in the network, and a
+    peer that stopped responding without closing its connections. Without a
+    hedged request the request would wait until its deadline, and its caller
+    would get no response although other targets are idle. Only idempotent
+    requests are hedged, only at a target with capacity, and only within the
+    retry budget.
 
     Attributes:
-        response_times: Time to an answer, by route.
+        response_times: Response times by route.
     """
 
     response_times: RouteTimes = attrs.field(factory=RouteTimes)
@@ -33,24 +34,25 @@
     def add_response_time(
         self, route: str, took_ms: float, now_ms: float
     ) -> None:
-        """Takes the time that an answer took."""
+        """Adds the response time of a request."""
         self.response_times.add(route, took_ms, now_ms)
 
     def delay_ms(
-        self, route: str, left_ms: float, now_ms: float
+        self, route: str, remaining_ms: float, now_ms: float
     ) -> float | None:
-        """Returns how long to wait before a request is sent again.
+        """Returns the delay before a request is sent to a second target.
 
         Args:
             route: The request's route.
-            left_ms: Time to its deadline.
+            remaining_ms: Time to the request's deadline.
             now_ms: Current time.
 
         Returns:
-            The time; None where a second answer would come too late.
+            The delay; None if the second response would come too late or the
+            route has no measurements.
         """
         if route not in self.response_times.by_route:
             return None
-        usual_ms = self.response_times.expected_ms(route, now_ms)
-        after_ms = HEDGE_TIMES * usual_ms + HEDGE_MS
-        return after_ms if after_ms + usual_ms < left_ms else None
+        expected_ms = self.response_times.expected_ms(route, now_ms)
+        delay_ms = HEDGE_DELAY_FACTOR * expected_ms + HEDGE_MARGIN_MS
+        return delay_ms if delay_ms + expected_ms < remaining_ms else None
--- a/packages/pomelobank-core/src/pomelobank_core/_quarantine.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_quarantine.py
@@ -1,37 +1,41 @@
-"""Recognises requests that crash targets and keeps them from doing so again."""
+"""Recognises requests that crash targets and stops them."""
 
 import enum
 
 import attrs
 import xxhash
 
-# A target that died with the request on it is strong evidence, a node that
-# was lost with it is weak: nodes die in herds for reasons of their own.
+# Points for a crash while the request was in flight. The loss of a target is
+# strong evidence. The loss of a node is weak evidence, because many nodes can
+# fail together for a cause that has nothing to do with requests.
 POINTS_TARGET_LOST = 2
 POINTS_NODE_LOST = 1
-# From here on the request runs alone, so that the next crash tells for sure.
+# Points from which a request runs alone, so that its next crash is conclusive.
 SUSPECT_POINTS = 2
-# Three lost targets in company; a request that never gets to run alone
-# because every resend is under way before the news must still be stopped.
+# Points from which a request is quarantined without having run alone: three
+# lost targets. A request may never run alone if each retry starts before the
+# report of the previous crash arrives, and must be stopped even so.
 QUARANTINE_POINTS = 6
-# A suspicion that nothing confirms is forgotten; callers resend within
-# minutes.
+# Time after which a suspicion without new evidence is removed. Callers retry
+# within minutes.
 SUSPICION_MS = 600_000
-# Doubles with each further crash, so that a caller which keeps sending costs
-# one target in a minute, then in two, at last in half an hour.
+# First and maximum duration of a quarantine. The duration doubles with each
+# further crash, so that a caller that keeps sending the request costs one
+# target in a minute, then one in two minutes, at last one in half an hour.
 FIRST_QUARANTINE_MS = 60_000
-LONGEST_QUARANTINE_MS = 1_800_000
-# 40 bytes of digest and counters each; a crash adds at most a target's slots.
+MAX_QUARANTINE_MS = 1_800_000
+# Maximum number of suspicions, of 40 bytes of digest and counters each. One
+# crash adds at most as many as the target has slots.
 MAX_ENTRIES = 1024
 
 
 class QuarantineState(enum.Enum):
-    """What may be done with a request.
+    """How a request may run.
 
     Attributes:
-        CLEAR: It runs like any other.
-        SUSPECT: It runs alone.
-        QUARANTINED: It does not run.
+        CLEAR: The request runs beside other requests.
+        SUSPECT: The request runs alone on its target.
+        QUARANTINED: The request does not run.
     """
 
     CLEAR = "clear"
@@ -41,12 +45,12 @@
 
 @attrs.frozen
 class Evidence:
-    """One observation about one request; every node adds them up.
+    """One observation of a request; every node adds up the observations.
 
     Attributes:
         fingerprint: Digest of the request.
-        points: Weight of the crash; 0 where there was none.
-        alone: Whether nothing else ran on the target that crashed.
+        points: Weight of the crash; 0 if there was no crash.
+        alone: Whether no other request ran on the target that crashed.
         cleared: Whether the request ran to its end.
     """
 
@@ -58,13 +62,14 @@
 
 @attrs.define
 class Suspicion:
-    """What is held against one request.
+    """Evidence against one request.
 
     Attributes:
-        points: Sum of the evidence.
-        until_ms: When it is forgotten.
-        quarantined_until_ms: When it may run alone again; 0 for now.
-        quarantines: How often it was quarantined.
+        points: Sum of the points of the evidence.
+        until_ms: Time at which the suspicion is removed.
+        quarantined_until_ms: Time at which the request may run alone again; 0
+            if the request was not quarantined.
+        quarantines: Number of quarantines of the request.
     """
 
     points: int = 0
@@ -74,17 +79,18 @@
 
 
 def fingerprint(route: str, method: str, target: bytes, body: bytes) -> bytes:
-    """Returns what identifies a request that is sent again.
+    """Returns a digest that is the same for each send of a request.
 
-    The request id differs with each send and a key may be missing, so both
-    are left out; headers hold ids and times of every hop. The exact target is
-    taken and not the shape of its path: one bad order must not stop all
-    others on its route. A caller that changes the body or the query with each
-    send is not recognised; its target is cold-started, and retries are
-    bounded.
+    The digest leaves out the request id, which differs with each send, the
+    idempotency key, which may be missing, and the headers, which hold ids and
+    times of every hop. The digest contains the exact path instead of the path's
+    pattern, because one bad order must not stop all other orders of its route.
+    If a caller changes the body or the query with each send, the node does not
+    recognise the request; a cold start of the lost target and the retry budget
+    then bound the damage.
 
     Args:
-        route: Route's name.
+        route: Name of the route.
         method: HTTP method.
         target: Raw path with query.
         body: Whole body.
@@ -102,19 +108,20 @@
 
 @attrs.define(eq=False)
 class QuarantineTable:
-    """Suspicions of one node; evidence travels, verdicts do not.
+    """Suspicions of one node, built from the evidence of all nodes.
 
-    Made for a request that crashes each target that runs it while its caller
-    sends it again. Without the table it takes down one target after the other,
-    each with up to twenty requests of others. One notices by targets of one
-    upstream that restart in turn. Requests in flight beside it are suspects
-    too until they run to their end once; they run, only not in company.
+    Handles a request that crashes each target that runs it, while its caller
+    keeps retrying. Without the table the request would crash one target after
+    another, each with up to twenty requests of other callers: the targets of
+    one upstream restart in turn. Requests in flight beside the faulty request
+    become suspects too, until each runs to its end once; suspects still run,
+    but alone. Nodes exchange evidence only, and each decides on its own.
 
     Attributes:
         entries: Suspicions by fingerprint, the oldest first.
-        suspected: Requests that became suspects.
-        quarantined: Quarantines that were imposed.
-        cleared: Suspects that ran to their end.
+        suspected: Number of requests that became suspects.
+        quarantined: Number of quarantines.
+        cleared: Number of suspects that ran to their end.
     """
 
     entries: dict[bytes, Suspicion] = attrs.field(factory=dict)
@@ -123,7 +130,7 @@
     cleared: int = 0
 
     def add(self, evidence: Evidence, now_ms: float) -> None:
-        """Takes one observation, the own or another node's."""
+        """Adds an observation of this node or of another node."""
         if evidence.cleared:
             self._clear(evidence.fingerprint, now_ms)
             return
@@ -133,14 +140,15 @@
         entry.until_ms = now_ms + SUSPICION_MS
         if not was_suspect and entry.points >= SUSPECT_POINTS:
             self.suspected += 1
-        # The first crash in no company may be chance, as when the target was
-        # killed; only one that was expected proves anything.
-        proven = was_suspect and evidence.alone
-        if proven or entry.points >= QUARANTINE_POINTS:
+        # The first crash of a request that runs alone may have another cause,
+        # such as a killed target. Only a crash of a request that was a suspect
+        # already is proof.
+        is_proven = was_suspect and evidence.alone
+        if is_proven or entry.points >= QUARANTINE_POINTS:
             self._quarantine(entry, now_ms)
 
     def state(self, fingerprint: bytes, now_ms: float) -> QuarantineState:
-        """Returns what may be done with a request."""
+        """Returns how a request may run now."""
         entry = self.entries.get(fingerprint)
         if entry is None:
             return QuarantineState.CLEAR
@@ -154,7 +162,7 @@
         return QuarantineState.CLEAR
 
     def retry_after_ms(self, fingerprint: bytes, now_ms: float) -> int:
-        """Returns when a quarantined request may be tried again."""
+        """Returns the time until a quarantine ends, in ms; 0 without one."""
         entry = self.entries.get(fingerprint)
         if entry is None:
             return 0
@@ -168,19 +176,19 @@
         return entry
 
     def _quarantine(self, entry: Suspicion, now_ms: float) -> None:
-        within_ms = FIRST_QUARANTINE_MS * 2**entry.quarantines
-        within_ms = min(within_ms, LONGEST_QUARANTINE_MS)
+        duration_ms = FIRST_QUARANTINE_MS * 2**entry.quarantines
+        duration_ms = min(duration_ms, MAX_QUARANTINE_MS)
         if entry.quarantined_until_ms <= now_ms:
             entry.quarantines += 1
             self.quarantined += 1
-        entry.quarantined_until_ms = now_ms + within_ms
-        # What remains afterwards is a suspect: it runs alone once more.
+        entry.quarantined_until_ms = now_ms + duration_ms
+        # After the quarantine the request is a suspect and runs alone again.
         entry.points = SUSPECT_POINTS
         entry.until_ms = entry.quarantined_until_ms + SUSPICION_MS
 
     def _clear(self, fingerprint: bytes, now_ms: float) -> None:
-        # A quarantined request was seen to crash a target on its own; one like
-        # it that ends elsewhere at the same time does not undo that.
+        # A quarantined request has crashed a target; if the same request ends
+        # normally on another target at the same time, the quarantine stays.
         if self.state(fingerprint, now_ms) is QuarantineState.QUARANTINED:
             return
         if self.entries.pop(fingerprint, None) is not None:
--- a/packages/pomelobank-core/src/pomelobank_core/_retries.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_retries.py
@@ -9,28 +9,33 @@
 from pomelobank_core._errors import ErrorKind
 from pomelobank_core._retry_budget import Budget, RetryBudget
 
-# Tries of one request, the first included. Three reach past one dead target
-# and one that dies meanwhile; more only add load when most are dead.
+# Attempts of one request, the first included. Three attempts get past a dead
+# target and a second target that dies meanwhile; more attempts only add load
+# when most targets are dead.
 MAX_ATTEMPTS = 3
-# Two targets drawn by their load that are both full mean a full upstream.
-MAX_LOAD_TRIES = 2
-# Tries that were turned away before they cost a target anything.
+# Attempts of one request that may fail by overload. If two targets that were
+# selected by their load are both full, the whole upstream is full.
+MAX_OVERLOAD_ATTEMPTS = 2
+# Retries of one request after attempts that were rejected before they cost a
+# target any work.
 MAX_TRANSPARENT_RETRIES = 4
-# The shortest pause lets the news of a crash arrive before the next try.
+# Bounds of the backoff. The minimum lets the report of a crash arrive before
+# the next attempt; the first bound doubles with each attempt up to the maximum.
 MIN_DELAY_MS = 10.0
-FIRST_DELAY_MS = 40.0
-MAX_DELAY_MS = 500.0
+FIRST_DELAY_BOUND_MS = 40.0
+MAX_DELAY_BOUND_MS = 500.0
 
 
 class RetryCost(enum.Enum):
-    """What another try costs the upstream.
+    """Cost of another attempt for the upstream.
 
     Attributes:
-        NEVER: Another try cannot help or is not allowed.
-        TRANSPARENT: Nothing yet: the target's node was not reached or is
-            leaving.
-        NOT_RUN: The request did not run and costs its work once.
-        IDEMPOTENT: It may run again; allowed for idempotent work only.
+        NEVER: Another attempt cannot help or is not allowed.
+        TRANSPARENT: The failed attempt cost nothing, because the target's node
+            was not reached or is leaving.
+        NOT_RUN: The request did not run, so its work is done once.
+        IDEMPOTENT: The request may have run and would run again; only
+            idempotent requests are retried.
     """
 
     NEVER = "never"
@@ -54,25 +59,26 @@
 }
 
 
-# Failures that tell of too much work, where waiting would not help.
-_LOAD_ERRORS = (None, ErrorKind.OVERLOADED, ErrorKind.TARGET_REFUSED)
+# Failures caused by overload; a pause before the next attempt would not help.
+_OVERLOAD_ERRORS = (None, ErrorKind.OVERLOADED, ErrorKind.TARGET_REFUSED)
 
 
 @attrs.frozen
 class FailedAttempt:
-    """A try that has failed.
+    """A failed attempt of a request.
 
     Attributes:
-        error: How; None where the target shed the request with an answer.
+        error: Kind of the failure; None if the target shed the request with a
+            response.
         idempotent: Whether the request may run more than once.
-        attempts: Tries so far.
-        transparent_retries: How many of them cost the upstream nothing.
+        attempts: Number of attempts so far.
+        transparent_retries: Number of attempts that cost the upstream nothing.
         remaining_ms: Time to the caller's deadline.
-        expected_ms: Time that an answer usually takes.
-        is_retry: Whether the request came in as part of another's retry.
-        other_has_capacity: Whether a target that was not tried plausibly has
-            room.
-        max_attempts: Most tries, the first included.
+        expected_ms: Expected time to a response.
+        is_retry: Whether the request itself belongs to a retry of its caller.
+        other_has_capacity: Whether a target without an attempt probably has a
+            free slot.
+        max_attempts: Maximum number of attempts, the first included.
     """
 
     error: ErrorKind | None
@@ -88,11 +94,11 @@
 
 @attrs.frozen
 class Retry:
-    """The request is sent to another target.
+    """Decision to send the request to another target.
 
     Attributes:
-        delay_ms: Pause before that.
-        transparent: Whether the failed try cost the upstream nothing.
+        delay_ms: Pause before the next attempt.
+        transparent: Whether the failed attempt cost the upstream nothing.
     """
 
     delay_ms: float
@@ -100,10 +106,10 @@
 
 
 def retry_cost(error: ErrorKind | None) -> RetryCost:
-    """Returns what another try costs; None stands for a shed request.
+    """Returns the cost of another attempt; None stands for a shed request.
 
-    A target that sheds has answered, so it is not certain that the request
-    did not run.
+    A target that sheds a request has sent a response, so the node cannot be
+    certain that the request did not run.
     """
     if error is None:
         return RetryCost.IDEMPOTENT
@@ -112,18 +118,19 @@
 
 @attrs.define(eq=False)
 class RetryPolicy:
-    """Decides about retries; one budget for each upstream.
+    """Decides about retries, with a retry budget for each upstream.
 
-    Only the node nearest to a failure retries. What comes back from a target
-    is an answer, also when a service behind it failed, and is passed on; and a
-    request that is itself part of a retry is not retried again. So retries do
-    not multiply along a chain of calls.
+    Only the node nearest to a failure retries, so that retries do not multiply
+    along a chain of calls. A node passes on every response of a target, even if
+    a service behind the target failed, and does not retry a request that itself
+    belongs to a retry.
 
     Attributes:
-        rng: Source of randomness.
+        rng: Random number generator.
         new_budget: Makes the budget of an upstream.
-        free_rejections: Whether a try that the target's node refused costs
-            nothing, because the budget bounds what targets themselves see.
+        free_rejections: Whether an attempt that the target's node rejected
+            costs nothing, because the budget bounds the load of the targets
+            themselves.
         budgets: Budgets by upstream.
     """
 
@@ -133,51 +140,51 @@
     budgets: dict[str, Budget] = attrs.field(factory=dict)
 
     def on_first_attempt(self, upstream: str, now_ms: float) -> None:
-        """Takes a request's first try."""
+        """Records the first attempt of a request."""
         self._budget(upstream).on_first_attempt(now_ms)
 
     def allow_hedge(self, upstream: str, now_ms: float) -> bool:
-        """Takes one try out of the budget without a failed one before it."""
+        """Takes a hedged request from the budget; returns whether it may go."""
         return self._budget(upstream).try_acquire(now_ms)
 
     def decide(
         self, upstream: str, attempt: FailedAttempt, now_ms: float
     ) -> Retry | None:
-        """Decides about a failed try.
+        """Decides whether a failed attempt is followed by another attempt.
 
         Args:
-            upstream: The upstream it was for.
-            attempt: The failed try.
+            upstream: Name of the request's upstream.
+            attempt: The failed attempt.
             now_ms: Current time.
 
         Returns:
-            When to try again, None where the caller gets the error now.
+            The retry; None if the caller gets the error now.
         """
         cost = self._cost(attempt.error)
-        if not self._may(cost, attempt):
+        if not self._is_allowed(cost, attempt):
             return None
-        after_ms = self._delay_ms(cost, attempt)
-        if after_ms + attempt.expected_ms >= attempt.remaining_ms:
+        delay_ms = self._delay_ms(cost, attempt)
+        if delay_ms + attempt.expected_ms >= attempt.remaining_ms:
             return None
         if cost is RetryCost.TRANSPARENT:
-            return Retry(after_ms, transparent=True)
+            return Retry(delay_ms, transparent=True)
         if not self._budget(upstream).try_acquire(now_ms):
             return None
-        return Retry(after_ms, transparent=False)
+        return Retry(delay_ms, transparent=False)
 
     def _cost(self, error: ErrorKind | None) -> RetryCost:
         if error is ErrorKind.OVERLOADED and self.free_rejections:
             return RetryCost.TRANSPARENT
         return retry_cost(error)
 
-    def _may(self, cost: RetryCost, attempt: FailedAttempt) -> bool:
+    def _is_allowed(self, cost: RetryCost, attempt: FailedAttempt) -> bool:
         if cost is RetryCost.NEVER:
             return False
         if cost is RetryCost.TRANSPARENT:
             if attempt.error is ErrorKind.OVERLOADED:
                 return (
                     attempt.other_has_capacity
-                    and attempt.transparent_retries < MAX_LOAD_TRIES
+                    and attempt.transparent_retries < MAX_OVERLOAD_ATTEMPTS
                 )
             return attempt.transparent_retries < MAX_TRANSPARENT_RETRIES
         sent = attempt.attempts - attempt.transparent_retries
@@ -185,24 +192,24 @@
             return False
         if cost is RetryCost.IDEMPOTENT and not attempt.idempotent:
             return False
-        # A full upstream as a whole is not helped by asking it again.
-        is_load = attempt.error in _LOAD_ERRORS
-        if is_load and sent >= MAX_LOAD_TRIES:
+        # If all targets of the upstream are full, a retry only adds load.
+        is_overload = attempt.error in _OVERLOAD_ERRORS
+        if is_overload and sent >= MAX_OVERLOAD_ATTEMPTS:
             return False
-        return attempt.other_has_capacity or not is_load
+        return attempt.other_has_capacity or not is_overload
 
     def _delay_ms(self, cost: RetryCost, attempt: FailedAttempt) -> float:
-        # Nodes that lost the same target at the same moment would all come to
-        # the next one together; a delay of any length up to the bound spreads
-        # them (full jitter).
+        # Nodes that lose the same target at the same time would all retry at
+        # the next target together (thundering herd); a random delay up to the
+        # bound spreads their attempts (full jitter).
         if cost is RetryCost.TRANSPARENT and attempt.transparent_retries <= 1:
             return 0.0
         if attempt.error in (ErrorKind.OVERLOADED, ErrorKind.TARGET_REFUSED):
-            # Another target has room now or not; waiting would only make a
-            # refusal late.
+            # Another target has capacity now or not; a pause would only delay
+            # the rejection.
             return 0.0
-        bound_ms = FIRST_DELAY_MS * 2 ** (attempt.attempts - 1)
-        bound_ms = min(MAX_DELAY_MS, bound_ms)
+        bound_ms = FIRST_DELAY_BOUND_MS * 2 ** (attempt.attempts - 1)
+        bound_ms = min(MAX_DELAY_BOUND_MS, bound_ms)
         return MIN_DELAY_MS + self.rng.uniform(0.0, bound_ms)
 
     def _budget(self, upstream: str) -> Budget:
--- a/packages/pomelobank-core/src/pomelobank_core/_retry_budget.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_retry_budget.py
@@ -1,4 +1,4 @@
-"""Bounds on how many tries an upstream gets beyond the first ones."""
+"""Retry budgets: bounds on the retries that an upstream receives."""
 
 from collections import deque
 from collections.abc import Callable
@@ -6,53 +6,58 @@
 
 import attrs
 
-# One try in ten more than the first tries: a failing upstream gets 10% more
-# load, not a multiple. Over 13 hops that is at most 1.1^13 = 3.5 times, where
-# three tries at each hop would be 3^13 = 1.6 million times.
+# Retries allowed for each first attempt: a failing upstream gets 10% more load
+# instead of a multiple. Over 13 hops the load grows to at most 1.1^13 = 3.5
+# times, where three attempts at each hop would make 3^13 = 1.6 million times.
 BUDGET_RATIO = 0.1
-# Kept for bursts of failures, as when a target with ten requests dies.
+# Maximum number of saved retries, for bursts of failures such as the death of a
+# target with ten requests.
 MAX_BUDGET = 20.0
-# So that an upstream with one request a minute may still retry it.
-BUDGET_FLOOR_PER_S = 0.5
-# Part of the mesh's allowance that nodes use. The rest is for what no node
-# sees: calls that a repeated run makes again, and nodes whose views differ.
+# Retries added each second, so that an upstream with one request a minute may
+# still retry that request.
+MIN_REFILL_PER_S = 0.5
+# Fraction of the mesh's retry budget that the nodes use. The remainder covers
+# retries that no node counts: calls that a repeated request makes again, and
+# nodes whose member lists differ.
 USABLE_FRACTION = 0.6
-# Buckets of a sliding window: a try is counted for a tenth longer at most.
-_BUCKETS = 10
+# Number of buckets of a sliding window; an attempt is counted for at most one
+# tenth of the window too long.
+_BUCKET_COUNT = 10
 _MS_PER_S = 1000.0
 
 
 class Budget(Protocol):
-    """Tries that one upstream may be given beyond the first ones.
+    """Budget of the retries and hedged requests that one upstream may receive.
 
     Attributes:
-        spent: Tries that were allowed.
-        denied: Tries that were not.
+        spent: Number of retries that the budget allowed.
+        denied: Number of retries that the budget denied.
     """
 
     spent: int
     denied: int
 
     def on_first_attempt(self, now_ms: float) -> None:
-        """Takes a request's first try."""
+        """Records the first attempt of a request."""
 
     def try_acquire(self, now_ms: float) -> bool:
-        """Takes one try out; returns whether there was one."""
+        """Takes one retry from the budget; returns whether one was left."""
 
 
 @attrs.define
 class RetryBudget:
-    """Tries that one upstream may be given beyond the first ones.
+    """Token bucket of the retries that one upstream may receive.
 
-    Made for an upstream that fails or is overloaded as a whole. Without it
-    each failed request comes back up to three times, and the upstream stays
-    down under the tries. One notices by load that grows while answers fall.
+    Handles an upstream that fails or is overloaded as a whole. Without a budget
+    each failed request would be sent up to three times, and the retries would
+    keep the upstream down: the load grows while the number of successful
+    responses falls.
 
     Attributes:
-        tokens: Tries that are left.
-        refilled_ms: When the floor was last added.
-        spent: Tries that were allowed.
-        denied: Tries that were not.
+        tokens: Number of retries left.
+        refilled_ms: Time of the last refill at the minimum rate.
+        spent: Number of retries that the budget allowed.
+        denied: Number of retries that the budget denied.
     """
 
     tokens: float = MAX_BUDGET
@@ -61,12 +66,12 @@
     denied: int = 0
 
     def on_first_attempt(self, now_ms: float) -> None:
-        """Takes a request's first try."""
+        """Records the first attempt of a request."""
         self._refill(now_ms)
         self.tokens = min(MAX_BUDGET, self.tokens + BUDGET_RATIO)
 
     def try_acquire(self, now_ms: float) -> bool:
-        """Takes one try out; returns whether there was one."""
+        """Takes one retry from the budget; returns whether one was left."""
         self._refill(now_ms)
         if self.tokens < 1.0:
             self.denied += 1
@@ -77,20 +82,20 @@
 
     def _refill(self, now_ms: float) -> None:
         if self.refilled_ms is not None:
-            passed_ms = max(0.0, now_ms - self.refilled_ms)
-            floor = BUDGET_FLOOR_PER_S * passed_ms / _MS_PER_S
-            self.tokens = min(MAX_BUDGET, self.tokens + floor)
+            elapsed_ms = max(0.0, now_ms - self.refilled_ms)
+            refill = MIN_REFILL_PER_S * elapsed_ms / _MS_PER_S
+            self.tokens = min(MAX_BUDGET, self.tokens + refill)
         self.refilled_ms = now_ms
 
 
 @attrs.define
 class _Bucket:
-    """What happened in one part of the window.
+    """Number of attempts in one tenth of the window.
 
     Attributes:
-        begun_ms: When the part began.
-        first: First tries in it.
-        spent: Further tries in it.
+        begun_ms: Start of the bucket.
+        first: Number of first attempts.
+        spent: Number of retries.
     """
 
     begun_ms: float
@@ -100,23 +105,22 @@
 
 @attrs.define
 class MeshRetryBudget:
-    """One node's part of an allowance that holds for the whole mesh.
+    """One node's share of a retry budget for the whole mesh.
 
-    Made for operators who bound, for any span of some seconds, the tries that
-    all nodes together send beyond the first ones. A token bucket that is full
-    after a calm minute would let every node spend it at the same moment, by
-    which an upstream of few requests gets several times the bound; one notices
-    by tries that all nodes send right after a fault begins. Counting what was
-    spent in the window itself cannot exceed the node's part at any moment.
+    For operators who limit the retries that all nodes together send in any
+    window of some seconds. Token buckets that are full after a calm minute
+    would let every node spend its bucket at the same time, as soon as a fault
+    begins, and an upstream with few requests would get several times the limit.
+    A count of the retries in a sliding window never exceeds the node's share.
 
     Attributes:
-        ratio: Part of the first tries that may be tried again.
-        slack: Tries that the whole mesh has beside that.
+        ratio: Allowed retries as a fraction of the first attempts.
+        slack: Retries in a window that the whole mesh has in addition.
         window_ms: Length of the window.
-        node_count: Tells among how many nodes the slack is divided.
-        buckets: Parts of the window, the oldest first.
-        spent: Tries that were allowed.
-        denied: Tries that were not.
+        node_count: Returns the number of nodes that share the slack.
+        buckets: Counts of the window, the oldest first.
+        spent: Number of retries that the budget allowed.
+        denied: Number of retries that the budget denied.
     """
 
     ratio: float
@@ -128,11 +132,11 @@
     denied: int = 0
 
     def on_first_attempt(self, now_ms: float) -> None:
-        """Takes a request's first try."""
+        """Records the first attempt of a request."""
         self._bucket(now_ms).first += 1
 
     def try_acquire(self, now_ms: float) -> bool:
-        """Takes one try out; returns whether there was one."""
+        """Takes one retry from the budget; returns whether one was left."""
         bucket = self._bucket(now_ms)
         spent = sum(item.spent for item in self.buckets)
         if spent + 1 > self._allowance():
@@ -148,13 +152,13 @@
         return USABLE_FRACTION * (self.ratio * first + slack)
 
     def _bucket(self, now_ms: float) -> _Bucket:
-        while self.buckets and self._is_past(self.buckets[0], now_ms):
+        while self.buckets and self._is_expired(self.buckets[0], now_ms):
             self.buckets.popleft()
-        length_ms = self.window_ms / _BUCKETS
+        length_ms = self.window_ms / _BUCKET_COUNT
         if not self.buckets or now_ms - self.buckets[-1].begun_ms >= length_ms:
             self.buckets.append(_Bucket(now_ms))
         return self.buckets[-1]
 
-    def _is_past(self, bucket: _Bucket, now_ms: float) -> bool:
-        length_ms = self.window_ms / _BUCKETS
+    def _is_expired(self, bucket: _Bucket, now_ms: float) -> bool:
+        length_ms = self.window_ms / _BUCKET_COUNT
         return now_ms - bucket.begun_ms >= self.window_ms + length_ms
--- a/packages/pomelobank-core/src/pomelobank_core/_scoped_keys.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_scoped_keys.py
@@ -1,11 +1,11 @@
-"""Idempotency keys within the services that callers address."""
+"""Idempotency keys that are scoped to the addressed service."""
 
 
 def scoped_key(service: str, idempotency_key: str) -> str:
-    """Returns a caller's key within the service that it addressed.
+    """Returns a caller's idempotency key, scoped to the addressed service.
 
-    The service is part of it, not the route: a route that is renamed between
-    two sendings of a request must not make the second look like a new one.
+    The scoped key contains the service and not the route, so that a request
+    that is sent again after its route was renamed still has the same key.
     """
     return f"{service}\n{idempotency_key}"
 
--- a/packages/pomelobank-core/src/pomelobank_core/_shutdown_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_shutdown_admission.py
@@ -1,33 +1,37 @@
-"""Decides which requests a node still takes shortly before it ends."""
+"""Decides which requests a node still accepts before its shutdown."""
 
 import attrs
 
-# Lower bound of the retry delay sent with a draining refusal.
+# Lower bound of the retry delay sent with a draining rejection.
 MIN_DRAINING_RETRY_AFTER_MS = 200
-# For the way there and back, and for the end of the connections.
-SAFE_MS = 200
+# Time reserved before the shutdown for the network round trip and for closing
+# the connections.
+SHUTDOWN_MARGIN_MS = 200
 
 
 @attrs.define
 class ShutdownAdmission:
-    """Keeps a stopping node from taking what it could not finish.
+    """Keeps a stopping node from accepting requests that would be cut off.
 
-    Some callers are sent to a node until its last moment. A request that is
-    cut off when the platform kills the process may have run, and its caller
-    sees a connection that ends without an answer; one that is refused has not
-    run and can go elsewhere at once. Only its deadline bounds the time that a
-    request takes: the target may turn slow while it works on it.
+    Some callers keep sending requests until the node's process ends. A request
+    that is cut off when the platform kills the process may have run, and its
+    caller sees a connection that closes without a response. A rejected request
+    has not run, and its caller can use another node at once. The node accepts a
+    request only if the request's deadline is before the shutdown, because only
+    the deadline bounds the request's duration: the target may become slow while
+    the request runs.
 
     Attributes:
-        shutdown_at_ms: When the node ends; None while it is not stopping.
+        shutdown_at_ms: Time of the shutdown; None while the node is not
+            stopping.
     """
 
     shutdown_at_ms: float | None = None
 
     def retry_after_ms(self, now_ms: float) -> int:
-        """Returns the delay after which a refused caller should retry.
+        """Returns the delay after which a rejected caller should retry.
 
-        A retry that reaches the node before it ends would be refused again.
+        The node would reject an earlier retry too, until it has ended.
 
         >>> ShutdownAdmission(shutdown_at_ms=5000).retry_after_ms(now_ms=4500)
         500
@@ -35,19 +39,19 @@
         Args:
             now_ms: The current time.
         """
-        ends_at_ms = self.shutdown_at_ms or now_ms
-        return max(MIN_DRAINING_RETRY_AFTER_MS, int(ends_at_ms - now_ms))
+        shutdown_at_ms = self.shutdown_at_ms or now_ms
+        return max(MIN_DRAINING_RETRY_AFTER_MS, int(shutdown_at_ms - now_ms))
 
     def accepts(self, remaining_ms: float, now_ms: float) -> bool:
-        """Tells whether a request ends in time, however long it takes.
+        """Tells whether a request ends before the shutdown in any case.
 
         >>> ShutdownAdmission(shutdown_at_ms=5000).accepts(1000, now_ms=4500)
         False
 
         Args:
-            remaining_ms: Time until it is answered in any case.
-            now_ms: The time.
+            remaining_ms: Time to the request's deadline.
+            now_ms: The current time.
         """
         if self.shutdown_at_ms is None:
             return True
-        return now_ms + remaining_ms + SAFE_MS <= self.shutdown_at_ms
+        return now_ms + remaining_ms + SHUTDOWN_MARGIN_MS <= self.shutdown_at_ms
--- a/packages/pomelobank-core/src/pomelobank_core/_stop_order.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_stop_order.py
@@ -8,8 +8,8 @@
 from pomelobank_core._members import MemberState
 from pomelobank_schema.generated.peer import MemberEntry
 
-# Multiple of the slowest route's usual request time that a node reserves for
-# requests in flight when it delays its end.
+# Multiple of the slowest route's expected service time that a node reserves for
+# requests in flight when the node delays its end.
 WORK_RESERVE_FACTOR = 2.0
 
 
@@ -25,7 +25,7 @@
 
     Attributes:
         node: Name of the stopping node.
-        data_centre: Its data centre.
+        data_centre: Name of the node's data centre.
     """
 
     node: str
@@ -42,7 +42,7 @@
     def must_wait(self, members: Iterable[MemberEntry]) -> bool:
         """Tells whether the node must keep serving for now.
 
-        This is so for a node of the second group while at least half of the
+        A node of the second group must keep serving while at least half of the
         first group is not ready.
 
         Args:
