--- a/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
@@ -96,7 +96,7 @@
             busy: Number of requests at the target, this one included.
         """
         self.answers += 1
-        self.ratio.add(self._add_to_baseline(route, took_ms))
+        self.ratio.add(self._ratio_to_baseline(route, took_ms))
         if self.cold:
             self._step_up()
             return
@@ -127,7 +127,7 @@
         self.reason = "cold start"
         self.answers = 0
 
-    def _add_to_baseline(self, route: str, took_ms: float) -> float:
+    def _ratio_to_baseline(self, route: str, took_ms: float) -> float:
         baseline = self.baselines.get(route)
         if baseline is None:
             if len(self.baselines) >= MAX_ROUTES:
--- a/packages/pomelobank-core/src/pomelobank_core/_quarantine.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_quarantine.py
@@ -99,9 +99,9 @@
         A digest of 16 bytes.
     """
     digest = xxhash.xxh3_128()
-    for part in (route.encode(), method.encode(), target):
-        digest.update(b"%d:" % len(part))
-        digest.update(part)
+    for field in (route.encode(), method.encode(), target):
+        digest.update(b"%d:" % len(field))
+        digest.update(field)
     digest.update(body)
     return digest.digest()
 
@@ -141,8 +141,8 @@
         if not was_suspect and entry.points >= SUSPECT_POINTS:
             self.suspected += 1
         # The first crash of a request that runs alone may have another cause,
-        # such as a killed target. Only a crash of a request that was a suspect
-        # already is proof.
+        # such as a killed target. Only a request that was a suspect already is
+        # proven faulty by a crash while the request runs alone.
         is_proven = was_suspect and evidence.alone
         if is_proven or entry.points >= QUARANTINE_POINTS:
             self._quarantine(entry, now_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/load_support.py
@@ -1,4 +1,4 @@
-"""A heap of events that drives admission as callers and one target would."""
+"""Simulation of callers and one target behind admission."""
 
 import heapq
 import itertools
@@ -37,16 +37,16 @@
 
 @attrs.define
 class EventQueue:
-    """Events in the order of their times; the clock of a test."""
+    """Priority queue of timed events; its time is the clock of a test."""
 
     now_ms: float = 0.0
     heap: list[tuple[float, int, Callable[[], None]]] = attrs.field(
         factory=list
     )
-    number: itertools.count = attrs.field(factory=itertools.count)
+    sequence: itertools.count = attrs.field(factory=itertools.count)
 
     def schedule(self, at_ms: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self.heap, (at_ms, next(self.number), action))
+        heapq.heappush(self.heap, (at_ms, next(self.sequence), action))
 
     def run(self) -> None:
         while self.heap:
@@ -56,7 +56,7 @@
 
 @attrs.define(eq=False)
 class Call:
-    """A caller's request and what became of it."""
+    """A caller's request and its outcome."""
 
     traffic_class: TrafficClass
     at_ms: float
@@ -73,7 +73,7 @@
 
 @attrs.define(slots=False)
 class Bench:
-    """One target behind admission; the target obeys its slots."""
+    """One simulated target behind admission, which enforces its slots."""
 
     policy: AdmissionPolicy
     slots: int = 10
@@ -110,7 +110,7 @@
     def load(
         self, per_s: float, until_ms: float, seed: int = 1, **arguments: object
     ) -> None:
-        """Adds calls at random times, so many a second on average."""
+        """Adds calls at random times, `per_s` a second on average."""
         rng = random.Random(seed)
         at_ms = rng.expovariate(per_s / 1000)
         while at_ms < until_ms:
@@ -120,47 +120,47 @@
     def outcomes(
         self, traffic_class: TrafficClass | None = None
     ) -> dict[str, list[float]]:
-        """Returns the times to each outcome."""
-        found: dict[str, list[float]] = {}
+        """Returns the durations of the calls by outcome."""
+        durations: dict[str, list[float]] = {}
         for call in self.calls:
             if traffic_class in (None, call.traffic_class):
-                found.setdefault(call.outcome, []).append(call.took_ms)
-        return found
+                durations.setdefault(call.outcome, []).append(call.took_ms)
+        return durations
 
     def _offer(self, call: Call) -> None:
         now_ms = self.events.now_ms
-        ticket = AdmissionRequest(
+        request = AdmissionRequest(
             call.traffic_class, call.route, now_ms + call.timeout_ms
         )
-        verdict = self.admission.offer(ticket, now_ms)
-        if isinstance(verdict, Rejected):
-            self._end(call, verdict.kind.value)
-        elif isinstance(verdict, Started):
-            self._begin(ticket, call)
+        decision = self.admission.offer(request, now_ms)
+        if isinstance(decision, Rejected):
+            self._end(call, decision.kind.value)
+        elif isinstance(decision, Started):
+            self._begin(request, call)
         else:
-            self.waiting[ticket] = call
-            self.events.schedule(ticket.deadline_ms, self._look)
+            self.waiting[request] = call
+            self.events.schedule(request.deadline_ms, self._start_waiting)
 
-    def _look(self) -> None:
-        self._carry_out(self.admission.start_waiting(self.events.now_ms))
+    def _start_waiting(self) -> None:
+        self._apply_change(self.admission.start_waiting(self.events.now_ms))
 
-    def _begin(self, ticket: AdmissionRequest, call: Call) -> None:
+    def _begin(self, request: AdmissionRequest, call: Call) -> None:
         self.max_in_flight = max(self.max_in_flight, self.admission.in_flight)
         end_ms = self.events.now_ms + call.work_ms * self.slow_factor
-        self.events.schedule(end_ms, lambda: self._finish(ticket, call))
+        self.events.schedule(end_ms, lambda: self._finish(request, call))
 
-    def _finish(self, ticket: AdmissionRequest, call: Call) -> None:
+    def _finish(self, request: AdmissionRequest, call: Call) -> None:
         now_ms = self.events.now_ms
-        in_time = now_ms <= ticket.deadline_ms
+        in_time = now_ms <= request.deadline_ms
         self._end(call, "answered" if in_time else "deadline_unknown")
-        change = self.admission.finish(ticket, WorkResult.RESPONDED, now_ms)
-        self._carry_out(change)
-
-    def _carry_out(self, change: QueueChange) -> None:
-        for ticket in change.started:
-            self._begin(ticket, self.waiting.pop(ticket))
-        for ticket in change.expired:
-            call = self.waiting.pop(ticket)
+        change = self.admission.finish(request, WorkResult.RESPONDED, now_ms)
+        self._apply_change(change)
+
+    def _apply_change(self, change: QueueChange) -> None:
+        for request in change.started:
+            self._begin(request, self.waiting.pop(request))
+        for request in change.expired:
+            call = self.waiting.pop(request)
             self._end(call, ErrorKind.DEADLINE_NOT_RUN.value)
 
     def _end(self, call: Call, outcome: str) -> None:
@@ -168,7 +168,7 @@
         call.ended_ms = self.events.now_ms
 
 
-def quantile(values: list[float], part: float) -> float:
-    """Returns a quantile of values."""
+def quantile(values: list[float], fraction: float) -> float:
+    """Returns the quantile of the values at a fraction from 0 to 1."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""What callers get from admission under bursts, floods and mixes."""
+"""Tests of admission by class under bursts, overload and mixed work."""
 
 import random
 
@@ -25,10 +25,11 @@
 
 
 def test_burst_waits_and_is_served() -> None:
-    """A delivery brings thirty look-ups within a moment to ten slots.
+    """Guards against rejections of a short burst.
 
-    Refusing two thirds of them would show at the counter although the target
-    is free again 30 ms later.
+    A delivery causes thirty look-ups in 0.3 ms at a target with ten slots.
+    Without a queue two thirds of them would be rejected, although the target
+    has free slots again 30 ms later.
     """
     bench = Bench(SHARED)
     bench.load(200, 500)
@@ -41,10 +42,10 @@
 
 @pytest.mark.parametrize("load", [1, 2, 5])
 def test_saturation_keeps_goodput(load: int) -> None:
-    """Callers ask for several times what the target can do.
+    """Guards against a loss of goodput under lasting overload.
 
-    Without a bounded queue every answer would come after its caller's time;
-    what users would notice is that nothing is answered at all.
+    Callers send up to five times the requests that the target can serve. With
+    an unbounded queue every response would come after its caller's deadline.
     """
     bench = Bench(SHARED)
     bench.load(load * 1000, 3000, timeout_ms=300)
@@ -64,13 +65,14 @@
         pytest.param("first_come", 0.8, False, id="first_come"),
     ],
 )
-def test_batch_flood_beside_a_counter(
+def test_batch_overload_beside_look_ups(
     policy: str, batch_share: float, interactive_answered: bool
 ) -> None:
-    """The weekly reports are asked for all at once on Sunday evening.
+    """Guards against batch work that starves look-ups or leaves slots idle.
 
-    First come, first served, a look-up at the counter waits behind reports;
-    with fixed parts the reports leave most of the target idle.
+    The weekly reports are all requested at once on Sunday evening. With a
+    first-come, first-served queue a look-up waits behind reports; with fixed
+    shares the reports leave most of the target idle.
     """
     bench = Bench(POLICIES[policy])
     bench.load(60, 20_000, work_ms=10, timeout_ms=250)
@@ -85,16 +87,16 @@
     bench.events.run()
     interactive = bench.outcomes(INTERACTIVE)
     calls = sum(len(times) for times in interactive.values())
-    part = len(interactive["answered"]) / calls
-    assert (part > 0.99) is interactive_answered
+    answered_fraction = len(interactive["answered"]) / calls
+    assert (answered_fraction > 0.99) is interactive_answered
     if interactive_answered:
         assert quantile(interactive["answered"], 0.99) <= 20
     served = len(bench.outcomes(BATCH)["answered"]) * 200
     assert served / (20_000 * bench.slots) >= batch_share
 
 
-def test_one_class_uses_every_slot_but_one() -> None:
-    """A ledger that serves only reports must not idle for absent classes."""
+def test_one_class_uses_all_slots_but_one() -> None:
+    """Guards against slots that stay idle for classes without requests."""
     bench = Bench(SHARED)
     for _ in range(100):
         bench.call(0, BATCH, work_ms=50, timeout_ms=10_000)
@@ -102,25 +104,26 @@
     assert bench.max_in_flight == bench.slots - 1
 
 
-def test_target_that_turns_slow() -> None:
-    """A target answers ten times slower than before, for all its requests.
+def test_target_that_becomes_slow() -> None:
+    """Guards against a queue that is planned with outdated service times.
 
-    Requests that were planned with the old times would fill the queue and
-    miss their deadlines while they wait, one after the other.
+    A target becomes ten times slower for all requests. Requests that are
+    admitted with the old service times would fill the queue and miss their
+    deadlines while they wait.
     """
     bench = Bench(SHARED)
     bench.load(800, 4000, timeout_ms=400)
     bench.events.schedule(1000, lambda: setattr(bench, "slow_factor", 10.0))
     bench.events.run()
     outcomes = bench.outcomes()
-    late = len(outcomes.get("deadline_unknown", []))
-    late += len(outcomes.get("deadline_not_run", []))
-    assert late <= 0.02 * len(bench.calls)
+    past_deadline = len(outcomes.get("deadline_unknown", []))
+    past_deadline += len(outcomes.get("deadline_not_run", []))
+    assert past_deadline <= 0.02 * len(bench.calls)
     assert len(outcomes["answered"]) >= 0.9 * (800 + 3 * 50)
 
 
 def test_long_and_short_work_on_one_target() -> None:
-    """Archives that take seconds share a target with page look-ups."""
+    """Guards against look-ups that wait behind archives of one second each."""
     bench = Bench(SHARED, slots=10)
     bench.load(300, 10_000, work_ms=5, timeout_ms=500)
     bench.load(
@@ -133,21 +136,21 @@
 
 
 def test_fewer_slots_start_nothing_new() -> None:
-    """A target announces half its slots while all are taken."""
+    """Guards against starts above a limit that fell while slots were busy."""
     admission = Admission(SHARED, ConcurrencyLimit(8, 8, False), 1000)
     running = [AdmissionRequest(INTERACTIVE, "r", 10_000) for _ in range(8)]
-    for ticket in running:
-        assert isinstance(admission.offer(ticket, 0), Started)
+    for request in running:
+        assert isinstance(admission.offer(request, 0), Started)
     admission.set_slots(4, 1)
     admission.offer(AdmissionRequest(INTERACTIVE, "r", 10_000), 2)
-    for ticket in running[:4]:
-        assert not admission.finish(ticket, WorkResult.RESPONDED, 5).started
+    for request in running[:4]:
+        assert not admission.finish(request, WorkResult.RESPONDED, 5).started
     change = admission.finish(running[4], WorkResult.RESPONDED, 6)
     assert len(change.started) == 1
 
 
 @pytest.mark.parametrize(
-    ("limit", "parts"),
+    ("limit", "guaranteed"),
     [
         pytest.param(1, [0, 0, 0], id="one"),
         pytest.param(2, [1, 0, 0], id="two"),
@@ -157,45 +160,58 @@
         pytest.param(20, [8, 2, 2], id="twenty"),
     ],
 )
-def test_parts_of_few_slots(limit: int, parts: list[int]) -> None:
-    """A target sheds and is down to a few slots during a batch run."""
-    assert [SHARED.slots_for(item, limit) for item in TrafficClass] == parts
+def test_guaranteed_slots_of_a_low_limit(
+    limit: int, guaranteed: list[int]
+) -> None:
+    """Guards against batch work in the last slots of a shedding target."""
+    assert [
+        SHARED.slots_for(item, limit) for item in TrafficClass
+    ] == guaranteed
 
 
 def test_passed_deadline_and_cancellation() -> None:
-    """A caller hangs up in the queue; another one's time runs out there."""
+    """Guards against queued requests that start after their caller has left.
+
+    One queued request is cancelled and the deadline of another one passes.
+    """
     admission = Admission(SHARED, ConcurrencyLimit(1, 1, False), 1000)
     first = AdmissionRequest(INTERACTIVE, "r", 10_000)
     assert isinstance(admission.offer(first, 0), Started)
-    hung_up = AdmissionRequest(INTERACTIVE, "r", 10_000)
-    too_late = AdmissionRequest(INTERACTIVE, "r", 400)
-    admission.offer(hung_up, 1)
-    admission.offer(too_late, 1)
-    admission.cancel(hung_up, 2)
+    cancelled = AdmissionRequest(INTERACTIVE, "r", 10_000)
+    expired = AdmissionRequest(INTERACTIVE, "r", 400)
+    admission.offer(cancelled, 1)
+    admission.offer(expired, 1)
+    admission.cancel(cancelled, 2)
     change = admission.finish(first, WorkResult.RESPONDED, 500)
-    assert (change.started, change.expired) == ((), (too_late,))
+    assert (change.started, change.expired) == ((), (expired,))
     assert (admission.waiting, admission.in_flight) == (0, 0)
 
 
-def test_refusal_says_when_to_come_back() -> None:
-    """A caller that is refused at a full queue asks when to return."""
+def test_rejection_has_a_retry_delay() -> None:
+    """Guards against rejections without a useful retry delay.
+
+    A thousand callers meet a full queue at the same time.
+    """
     admission = Admission(
         SHARED, ConcurrencyLimit(10, 10, False), 200, random.Random(1)
     )
-    verdicts = [
+    decisions = [
         admission.offer(AdmissionRequest(INTERACTIVE, "r", 60_000), 0)
         for _ in range(1000)
     ]
-    refused = [item for item in verdicts if isinstance(item, Rejected)]
-    assert {item.kind for item in refused} == {ErrorKind.OVERLOADED}
-    assert all(200 <= item.retry_after_ms <= 500 for item in refused)
+    rejected = [item for item in decisions if isinstance(item, Rejected)]
+    assert {item.kind for item in rejected} == {ErrorKind.OVERLOADED}
+    assert all(200 <= item.retry_after_ms <= 500 for item in rejected)
 
 
 def test_suspect_runs_alone() -> None:
-    """A request that may crash the target must have no neighbours."""
+    """Guards against a crash that takes other requests down with a suspect.
+
+    A request that may crash its target must run alone.
+    """
     admission = Admission(SHARED, ConcurrencyLimit(4, 4, False), 1000)
-    innocent = AdmissionRequest(INTERACTIVE, "r", 10_000)
-    admission.offer(innocent, 0)
+    harmless = AdmissionRequest(INTERACTIVE, "r", 10_000)
+    admission.offer(harmless, 0)
     suspect = AdmissionRequest(INTERACTIVE, "s", 10_000, isolated=True)
     later = AdmissionRequest(INTERACTIVE, "r", 10_000)
     admission.offer(suspect, 1)
@@ -206,7 +222,7 @@
         ),
         Rejected,
     )
-    change = admission.finish(innocent, WorkResult.RESPONDED, 5)
+    change = admission.finish(harmless, WorkResult.RESPONDED, 5)
     assert change.started == (suspect,)
     change = admission.finish(suspect, WorkResult.RESPONDED, 9)
     assert change.started == (later,)
@@ -236,39 +252,39 @@
         change = None
         before = admission.in_flight
         if action == "offer":
-            alone = number == 0
-            ticket = AdmissionRequest(
-                traffic_class, "r", now_ms + 10 * number, alone
+            isolated = number == 0
+            request = AdmissionRequest(
+                traffic_class, "r", now_ms + 10 * number, isolated
             )
-            verdict = admission.offer(ticket, now_ms)
-            if isinstance(verdict, Started):
-                running.append(ticket)
-            elif not isinstance(verdict, Rejected):
-                waiting.append(ticket)
+            decision = admission.offer(request, now_ms)
+            if isinstance(decision, Started):
+                running.append(request)
+            elif not isinstance(decision, Rejected):
+                waiting.append(request)
         elif action == "finish" and running:
-            ticket = running.pop(number % len(running))
+            request = running.pop(number % len(running))
             before -= 1
-            change = admission.finish(ticket, WorkResult.RESPONDED, now_ms)
+            change = admission.finish(request, WorkResult.RESPONDED, now_ms)
         elif action == "leave" and waiting:
-            ticket = waiting.pop(number % len(waiting))
-            change = admission.cancel(ticket, now_ms)
+            request = waiting.pop(number % len(waiting))
+            change = admission.cancel(request, now_ms)
         elif action == "slots":
             change = admission.set_slots(1 + number % 12, now_ms)
         elif action == "wait":
             now_ms += 10 * number
             change = admission.start_waiting(now_ms)
-        for ticket in change.started if change else ():
-            waiting.remove(ticket)
-            running.append(ticket)
-        for ticket in change.expired if change else ():
-            waiting.remove(ticket)
-        _check(admission, running, waiting, before)
-    # The next look at any time drops whatever has expired.
+        for request in change.started if change else ():
+            waiting.remove(request)
+            running.append(request)
+        for request in change.expired if change else ():
+            waiting.remove(request)
+        _check_counts(admission, running, waiting, before)
+    # The next call of start_waiting drops all expired requests.
     admission.start_waiting(now_ms)
     assert all(t.deadline_ms > now_ms for t in admission.queued_requests())
 
 
-def _check(
+def _check_counts(
     admission: Admission,
     running: list[AdmissionRequest],
     waiting: list[AdmissionRequest],
@@ -276,17 +292,17 @@
 ) -> None:
     assert admission.in_flight == len(running)
     assert admission.waiting == len(waiting)
-    # More run than the limit only where the limit fell meanwhile.
+    # More requests run than the limit allows only if the limit has fallen.
     assert len(running) <= max(admission.limit.current, before)
-    if any(ticket.isolated for ticket in running):
+    if any(request.isolated for request in running):
         assert len(running) == 1
     if admission.isolated_request is None and admission.policy is SHARED:
-        _check_parts(admission)
+        _check_guarantees(admission)
 
 
-def _check_parts(admission: Admission) -> None:
+def _check_guarantees(admission: Admission) -> None:
     free = admission.limit.current - admission.in_flight
     for traffic_class, queue in admission.queues.items():
-        kept = admission.reserved(traffic_class, 0)
-        below = admission.running[traffic_class] < kept
+        reserved = admission.reserved(traffic_class, 0)
+        below = admission.running[traffic_class] < reserved
         assert not (queue and below and free > 0)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_caller_timeouts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_caller_timeouts.py
@@ -1,4 +1,4 @@
-"""What a caller has used on earlier attempts, told by the time it has left."""
+"""Tests of the estimated time that callers have used on earlier attempts."""
 
 import random
 
@@ -9,65 +9,71 @@
 FULL_MS = 800
 
 
-def _learnt(back_part: float) -> CallerTimeouts:
-    """Returns what is known after a thousand callers, some of them back."""
+def _trained_timeouts(retry_fraction: float) -> CallerTimeouts:
+    """Returns the estimator after a thousand callers, some of them retries."""
     rng = random.Random(1)
-    patience = CallerTimeouts()
+    timeouts = CallerTimeouts()
     for _ in range(1000):
         given_ms = FULL_MS * rng.uniform(0.85, 1.0)
-        if rng.random() < back_part:
+        if rng.random() < retry_fraction:
             given_ms -= 260
-        patience.elapsed_ms("stock", round(given_ms))
-    return patience
+        timeouts.elapsed_ms("stock", round(given_ms))
+    return timeouts
 
 
 @pytest.mark.parametrize(
-    "back_part",
+    "retry_fraction",
     [
-        pytest.param(0.0, id="nobody was refused"),
-        pytest.param(0.2, id="some come back"),
-        pytest.param(0.45, id="nearly half come back"),
+        pytest.param(0.0, id="no retries"),
+        pytest.param(0.2, id="some retries"),
+        pytest.param(0.45, id="nearly half are retries"),
     ],
 )
-def test_callers_that_come_back_are_told_apart(back_part: float) -> None:
-    """Callers are refused and come back with a part of their time.
-
-    Taken for newcomers, they get slots in which newcomers would have been in
-    time, and their own answers are late all the same.
+def test_retries_are_distinguished_from_first_attempts(
+    retry_fraction: float,
+) -> None:
+    """Guards against retries that are treated as first attempts.
+
+    Rejected callers retry with the remainder of their time. Treated as first
+    attempts, the retries would get slots in which first attempts could meet
+    their objective, and would still miss their own.
     """
-    patience = _learnt(back_part)
-    back = patience.elapsed_ms("stock", round(0.92 * FULL_MS - 260))
-    new = patience.elapsed_ms("stock", round(0.92 * FULL_MS))
-    assert back > 150
-    assert new == 0
+    timeouts = _trained_timeouts(retry_fraction)
+    retry_ms = timeouts.elapsed_ms("stock", round(0.92 * FULL_MS - 260))
+    first_attempt_ms = timeouts.elapsed_ms("stock", round(0.92 * FULL_MS))
+    assert retry_ms > 150
+    assert first_attempt_ms == 0
 
 
-def test_a_few_patient_callers_change_nothing() -> None:
-    """One caller in twenty waits ten times as long as the others.
+def test_a_few_long_timeouts_do_not_change_the_typical_one() -> None:
+    """Guards against a typical time-out that follows a few long time-outs.
 
-    Measured against the most patient one, everybody else would seem to have
-    come back and nobody would be served first.
+    One caller in twenty waits ten times as long as the others. Against the
+    longest time-out all other requests would look like retries, and none would
+    be served as a first attempt.
     """
     rng = random.Random(1)
-    patience = CallerTimeouts()
+    timeouts = CallerTimeouts()
     for _ in range(2000):
         given_ms = FULL_MS * (10 if rng.random() < 0.05 else 1)
-        patience.elapsed_ms("stock", given_ms)
-    assert patience.elapsed_ms("stock", FULL_MS) < 0.1 * FULL_MS
+        timeouts.elapsed_ms("stock", given_ms)
+    assert timeouts.elapsed_ms("stock", FULL_MS) < 0.1 * FULL_MS
 
 
 def test_routes_are_kept_apart() -> None:
-    patience = CallerTimeouts()
-    patience.elapsed_ms("slow", 20_000)
-    assert patience.elapsed_ms("fast", 200) == 0
-    assert patience.elapsed_ms("fast", 100) == pytest.approx(100, abs=5)
+    """Guards against time-outs of one route that affect another route."""
+    timeouts = CallerTimeouts()
+    timeouts.elapsed_ms("slow", 20_000)
+    assert timeouts.elapsed_ms("fast", 200) == 0
+    assert timeouts.elapsed_ms("fast", 100) == pytest.approx(100, abs=5)
 
 
-def test_a_newcomer_who_is_less_patient_is_no_returning_caller() -> None:
-    """Callers of one route differ in their patience by a sixth.
+def test_a_shorter_timeout_alone_is_not_a_retry() -> None:
+    """Guards against first attempts that are treated as retries.
 
-    With a deadline of four times the objective, the least patient would seem
-    to have used half of it, and would be served after everybody else.
+    The time-outs of a route's callers differ by a sixth. With a deadline of
+    four times the objective, the callers with the shortest time-outs would seem
+    to have used half of their objective and would be served last.
     """
-    patience = _learnt(0.0)
-    assert patience.elapsed_ms("stock", round(0.85 * FULL_MS)) == 0
+    timeouts = _trained_timeouts(0.0)
+    assert timeouts.elapsed_ms("stock", round(0.85 * FULL_MS)) == 0
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_concurrency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_concurrency.py
@@ -1,9 +1,10 @@
-"""The limit that follows what a target does with its requests."""
+"""Tests of the adaptive limit of concurrent requests."""
 
 from pomelobank_core import ConcurrencyLimit
 
 
 def test_cold_start_grows_to_all_slots() -> None:
+    """Guards against a cold target that gets all its slots' load at once."""
     limit = ConcurrencyLimit.start(20)
     assert (limit.current, limit.reason) == (5, "cold start")
     for _ in range(15):
@@ -11,26 +12,28 @@
     assert (limit.current, limit.reason) == (20, "")
 
 
-def test_shedding_target_gets_less() -> None:
-    """A target announces ten slots but turns away what is above four.
+def test_limit_falls_for_a_shedding_target() -> None:
+    """Guards against a limit above the capacity of a target.
 
-    Without the limit every burst would cost callers six errors of ten.
+    A target announces ten slots but sheds each request above four. Without the
+    limit six of ten requests of every burst would fail.
     """
     limit = ConcurrencyLimit(10, 10, False)
-    shed = 0
+    shed_count = 0
     for _ in range(200):
-        tried = limit.current
-        for place in range(tried):
-            if place < 4:
-                limit.on_response("r", 10, tried)
+        sent = limit.current
+        for index in range(sent):
+            if index < 4:
+                limit.on_response("r", 10, sent)
             else:
                 limit.on_shed()
-                shed += 1
+                shed_count += 1
     assert limit.current in (4, 5)
-    assert shed <= 0.05 * 200 * 4
+    assert shed_count <= 0.05 * 200 * 4
 
 
-def test_one_burst_of_sheds_is_one_step() -> None:
+def test_one_burst_of_shed_requests_is_one_step() -> None:
+    """Guards against one burst of shed requests lowering the limit to 1."""
     limit = ConcurrencyLimit(20, 20, False)
     for _ in range(10):
         limit.on_shed()
@@ -38,7 +41,10 @@
 
 
 def test_slow_target_keeps_half_and_recovers() -> None:
-    """A target's data base stalls; all its answers take five times as long."""
+    """Guards against a limit that falls too far or stays low.
+
+    A target's database stalls and all its responses take five times as long.
+    """
     limit = ConcurrencyLimit(10, 10, False)
     for _ in range(200):
         limit.on_response("r", 10, limit.current)
@@ -54,6 +60,7 @@
 
 
 def test_mixed_work_does_not_look_slow() -> None:
+    """Guards against a lower limit for a route with long and short work."""
     limit = ConcurrencyLimit(10, 10, False)
     for index in range(2000):
         limit.on_response("r", 200 if index % 10 == 0 else 5, limit.current)
@@ -61,6 +68,7 @@
 
 
 def test_more_slots_are_approached_step_by_step() -> None:
+    """Guards against a burst of load on new slots that are still cold."""
     limit = ConcurrencyLimit(4, 4, False)
     limit.set_slots(8)
     assert limit.current == 4
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
@@ -1,4 +1,4 @@
-"""Loads at their worst, replayed against admission by rank and time left."""
+"""Overload simulations for admission by priority, objective and deadline."""
 
 import random
 
@@ -25,12 +25,12 @@
     """One kind of request.
 
     Attributes:
-        route: Its route.
+        route: Name of the route.
         per_s: Requests a second.
-        work_ms: Time at the target.
-        aim_ms: Time in which the answer is of full use.
-        timeout_ms: Its caller's limit.
-        priority: Its rank.
+        work_ms: Mean service time.
+        aim_ms: Latency objective.
+        timeout_ms: Time until the caller's deadline.
+        priority: Priority of the route.
     """
 
     route: str
@@ -43,11 +43,12 @@
 
 @attrs.define(slots=False)
 class Target:
-    """One target; counts what became of the requests of each route.
+    """One simulated target; counts the outcomes of requests by route.
 
     Attributes:
-        first_come: Whether rank and aims are left out, as the baseline does.
-        slots: Requests that it runs at once.
+        first_come: Whether priorities and objectives are ignored, as in the
+            first-come, first-served baseline.
+        slots: Number of concurrent requests at the target.
     """
 
     first_come: bool = False
@@ -60,7 +61,7 @@
         limit = ConcurrencyLimit(self.slots, current=self.slots, cold=False)
         self.admission = DeadlineAdmission(limit, self.rng)
         self.work: dict[AdmissionRequest, Work] = {}
-        self.refused_after_ms: list[float] = []
+        self.rejected_after_ms: list[float] = []
 
     def load(self, work: Work, begin_ms: float, end_ms: float) -> None:
         at_ms = begin_ms
@@ -71,7 +72,7 @@
 
     def _offer(self, work: Work) -> None:
         now_ms = self.events.now_ms
-        ticket = AdmissionRequest(
+        request = AdmissionRequest(
             TrafficClass.INTERACTIVE,
             work.route,
             now_ms + work.timeout_ms,
@@ -79,42 +80,45 @@
             objective_at_ms=now_ms
             + (work.timeout_ms if self.first_come else work.aim_ms),
         )
-        self.work[ticket] = work
-        verdict = self.admission.offer(ticket, now_ms)
-        if isinstance(verdict, Started):
-            self._run(ticket)
-        elif isinstance(verdict, Rejected):
-            self._count(ticket, "refused")
-            self.refused_after_ms.append(0.0)
-
-    def _run(self, ticket: AdmissionRequest) -> None:
-        work = self.work[ticket]
-        took_ms = work.work_ms * self.rng.uniform(0.7, 1.3)
+        self.work[request] = work
+        decision = self.admission.offer(request, now_ms)
+        if isinstance(decision, Started):
+            self._run(request)
+        elif isinstance(decision, Rejected):
+            self._count(request, "rejected")
+            self.rejected_after_ms.append(0.0)
+
+    def _run(self, request: AdmissionRequest) -> None:
+        work = self.work[request]
+        work_ms = work.work_ms * self.rng.uniform(0.7, 1.3)
         self.events.schedule(
-            self.events.now_ms + took_ms, lambda: self._ended(ticket)
+            self.events.now_ms + work_ms, lambda: self._finish(request)
         )
 
-    def _ended(self, ticket: AdmissionRequest) -> None:
+    def _finish(self, request: AdmissionRequest) -> None:
         now_ms = self.events.now_ms
-        change = self.admission.finish(ticket, WorkResult.RESPONDED, now_ms)
-        work = self.work[ticket]
-        in_aim = now_ms <= ticket.offered_ms + work.aim_ms
-        self._count(ticket, "in aim" if in_aim else "late")
+        change = self.admission.finish(request, WorkResult.RESPONDED, now_ms)
+        work = self.work[request]
+        within_objective = now_ms <= request.offered_ms + work.aim_ms
+        self._count(
+            request,
+            "within objective" if within_objective else "past objective",
+        )
         for item in change.expired:
             self._count(item, "dropped")
         for item in change.started:
             self._run(item)
 
-    def _count(self, ticket: AdmissionRequest, outcome: str) -> None:
-        route = self.outcomes.setdefault(ticket.route, {})
+    def _count(self, request: AdmissionRequest, outcome: str) -> None:
+        route = self.outcomes.setdefault(request.route, {})
         route[outcome] = route.get(outcome, 0) + 1
 
-    def part(self, route: str, outcome: str) -> float:
-        found = self.outcomes[route]
-        return found.get(outcome, 0) / sum(found.values())
+    def fraction(self, route: str, outcome: str) -> float:
+        counts = self.outcomes[route]
+        return counts.get(outcome, 0) / sum(counts.values())
 
 
-# Two thirds of the slots are busy on an ordinary day.
+# LOOK_UP and REPORT together keep two thirds of the slots busy.
 LOOK_UP = Work("look-up", 85, 90, 300, 1000)
 REPORT = Work("report", 18, 220, 600, 2000)
 CALL = Work("call", 60, 22, 100, 250, priority=0)
@@ -122,78 +126,89 @@
 
 
 @pytest.mark.parametrize(
-    ("first_come", "keeps_up"),
+    ("first_come", "orders_meet_objective"),
     [
         pytest.param(False, True, id="by deadline"),
         pytest.param(True, False, id="first come"),
     ],
 )
-def test_orders_in_a_rush_of_look_ups(first_come: bool, keeps_up: bool) -> None:
-    """Look-ups come at twice their usual rate for three seconds.
+def test_orders_in_a_burst_of_look_ups(
+    first_come: bool, orders_meet_objective: bool
+) -> None:
+    """Guards against orders that wait behind a burst of look-ups.
 
-    Orders are worth more and are ranked before them. Served in the order in
-    which they come, orders wait in the look-ups' queue and are late with them.
+    Look-ups arrive at more than twice their usual rate for three seconds.
+    Orders have a more urgent priority. With a first-come, first-served queue
+    the orders wait behind the look-ups and miss their objectives with them.
     """
     target = Target(first_come)
     target.load(LOOK_UP, 0, 6000)
     target.load(ORDER, 0, 6000)
     target.load(attrs.evolve(LOOK_UP, per_s=120), 2000, 5000)
     target.events.run()
-    assert (target.part("order", "in aim") > 0.97) is keeps_up
+    assert (
+        target.fraction("order", "within objective") > 0.97
+    ) is orders_meet_objective
 
 
 @pytest.mark.parametrize(
-    ("first_come", "better"),
+    ("first_come", "look_ups_meet_objective"),
     [
         pytest.param(False, True, id="by deadline"),
         pytest.param(True, False, id="first come"),
     ],
 )
-def test_what_can_be_in_time_goes_before_what_is_late(
-    first_come: bool, better: bool
+def test_requests_within_their_objective_go_first(
+    first_come: bool, look_ups_meet_objective: bool
 ) -> None:
-    """A target is asked for a quarter more than it can do, for six seconds.
+    """Guards against slots that go to requests past their objective.
 
-    In the order in which they come, every request waits for those that are
-    late already, and hardly any is in time although the target never rests.
+    A target gets a quarter more work than it can do for six seconds. With a
+    first-come, first-served queue every request waits for requests that are
+    past their objective already, and hardly any request meets its own although
+    the target is busy all the time.
     """
     target = Target(first_come)
     target.load(attrs.evolve(LOOK_UP, per_s=250), 0, 6000)
     target.events.run()
-    assert (target.part("look-up", "in aim") > 0.7) is better
+    assert (
+        target.fraction("look-up", "within objective") > 0.7
+    ) is look_ups_meet_objective
 
 
-def test_what_cannot_be_served_is_refused_at_once() -> None:
-    """A target is asked for three times what it can do.
+def test_excess_requests_are_rejected_on_arrival() -> None:
+    """Guards against requests that are queued and then dropped.
 
-    A request that would be dropped from the queue in the end is better refused
-    when it comes: its caller can still go elsewhere.
+    A target gets three times the requests that it can serve. A request that
+    would be dropped from the queue later must be rejected on arrival, while its
+    caller can still use another target.
     """
     target = Target()
     target.load(attrs.evolve(LOOK_UP, per_s=600), 0, 4000)
     target.events.run()
-    assert target.part("look-up", "in aim") > 0.28
-    assert target.part("look-up", "refused") > 0.4
-    assert target.part("look-up", "dropped") < 0.2
+    assert target.fraction("look-up", "within objective") > 0.28
+    assert target.fraction("look-up", "rejected") > 0.4
+    assert target.fraction("look-up", "dropped") < 0.2
 
 
-def test_hardly_anything_waits_in_vain() -> None:
-    """Orders take two thirds of a target, look-ups ask for thrice the rest.
+def test_few_queued_requests_are_dropped() -> None:
+    """Guards against wait estimates that ignore more urgent arrivals.
 
-    Each look-up that is taken in sees a short queue, but orders go before it
-    all the time. It is refused in the end all the same, a third of a second
-    later, when its caller has no time left to go elsewhere.
+    Orders take two thirds of a target, and look-ups need three times the
+    remaining capacity. Each admitted look-up sees a short queue, but orders
+    overtake the look-up all the time. The look-up would be dropped a third of a
+    second later, when its caller has no time left to use another target.
     """
     target = Target()
     target.load(attrs.evolve(ORDER, per_s=100), 0, 6000)
     target.load(attrs.evolve(LOOK_UP, per_s=200), 0, 6000)
     target.events.run()
-    assert target.part("order", "in aim") > 0.97
-    assert target.part("look-up", "dropped") < 0.1
-    assert target.part("look-up", "late") < 0.1
+    assert target.fraction("order", "within objective") > 0.97
+    assert target.fraction("look-up", "dropped") < 0.1
+    assert target.fraction("look-up", "past objective") < 0.1
 
 
-def test_an_overtaken_request_is_refused_before_it_gives_up() -> None:
+def test_an_overtaken_request_is_dropped_before_its_wait_ends() -> None:
     """Guards against holding a request that can no longer start in time."""
     admission = DeadlineAdmission(
         ConcurrencyLimit(1, current=1, cold=False), random.Random(1)
@@ -218,89 +233,97 @@
     assert admission.wait_deadline_ms(waiting) == 2000
 
 
-def test_a_caller_that_came_back_does_not_take_a_newcomers_slot() -> None:
-    """Half of the look-ups come for the second time and are late already.
+def test_a_retry_does_not_take_the_slot_of_a_first_attempt() -> None:
+    """Guards against retries that take the slots of first attempts.
 
-    Taken in turn with newcomers they fill half of the slots with answers that
-    are late; served after them, they get what newcomers leave over.
+    Nearly half of the look-ups are retries that are past their objective. If
+    retries and first attempts were served in turn, half of the slots would
+    compute late responses; retries must get only the slots that first attempts
+    leave free.
     """
     target = Target()
-    back = Work("look-up again", 150, 90, 1, 700)
+    retries = Work("look-up again", 150, 90, 1, 700)
     target.load(attrs.evolve(LOOK_UP, per_s=190), 0, 6000)
-    target.load(back, 0, 6000)
+    target.load(retries, 0, 6000)
     target.events.run()
-    assert target.part("look-up", "in aim") > 0.85
+    assert target.fraction("look-up", "within objective") > 0.85
 
 
 def test_calls_of_running_work_go_before_a_queue_of_reports() -> None:
-    """Reports come at a rate that fills every slot and a queue.
+    """Guards against calls of running requests that wait behind reports.
 
-    A call that another target makes while it works holds a slot there. Waiting
-    behind the reports it would fail, and its parent's work with it.
+    Reports arrive at a rate that fills every slot and a queue. A call comes
+    from a request that holds a slot at another target. If the call waited
+    behind the reports, the call would fail and the calling request with it.
     """
     target = Target()
     target.load(attrs.evolve(REPORT, per_s=90, timeout_ms=6000), 0, 3000)
     target.load(CALL, 1000, 3000)
     target.events.run()
-    assert target.part("call", "in aim") > 0.95
-    assert target.part("report", "in aim") > 0.6
+    assert target.fraction("call", "within objective") > 0.95
+    assert target.fraction("report", "within objective") > 0.6
 
 
-def test_brief_calls_are_not_refused_behind_longer_work_of_their_rank() -> None:
-    """Guards against calls that are refused, with their callers' work lost."""
+def test_brief_calls_are_not_rejected_behind_longer_work() -> None:
+    """Guards against rejected calls, whose callers' work is then lost."""
     target = Target(slots=3)
     target.load(Work("order", 24, 160, 646, 2000, priority=1), 0, 8000)
     target.load(Work("call", 15, 30, 137, 450, priority=1), 1000, 8000)
     target.events.run()
-    assert target.part("call", "refused") + target.part("call", "dropped") == 0
-    assert target.part("order", "in aim") > 0.6
+    assert (
+        target.fraction("call", "rejected") + target.fraction("call", "dropped")
+        == 0
+    )
+    assert target.fraction("order", "within objective") > 0.6
 
 
 def test_brief_requests_do_not_starve_longer_work_of_their_rank() -> None:
-    """Guards against a rush of short requests that takes every slot."""
+    """Guards against a burst of short requests that takes every slot."""
     target = Target(slots=3)
     target.load(Work("report", 5, 300, 900, 3000), 0, 8000)
     target.load(Work("look-up", 200, 30, 137, 450), 1000, 8000)
     target.events.run()
-    assert target.part("report", "in aim") > 0.25
-    assert target.part("look-up", "refused") > 0.3
+    assert target.fraction("report", "within objective") > 0.25
+    assert target.fraction("look-up", "rejected") > 0.3
 
 
-def test_refusals_tell_a_time_that_grows_with_the_queue() -> None:
-    """A hundred callers are refused in one moment.
+def test_rejections_have_varying_retry_delays() -> None:
+    """Guards against rejected callers that all retry at the same time.
 
-    Told the same time they would come back as the next rush.
+    More than a hundred callers are rejected at once. With the same retry delay
+    they would return together as the next burst.
     """
     target = Target()
     admission = target.admission
     times = []
     for _ in range(300):
-        ticket = AdmissionRequest(
+        request = AdmissionRequest(
             TrafficClass.INTERACTIVE, "a", 1000, objective_at_ms=300
         )
-        verdict = admission.offer(ticket, 0)
-        if isinstance(verdict, Rejected):
-            times.append(verdict.retry_after_ms)
+        decision = admission.offer(request, 0)
+        if isinstance(decision, Rejected):
+            times.append(decision.retry_after_ms)
     assert len(times) > 100
     assert max(times) > 1.5 * min(times)
 
 
-def test_a_route_that_was_slow_for_a_moment_is_not_refused_for_good() -> None:
-    """A target stood still for two seconds while a call was there.
+def test_a_route_is_not_rejected_permanently_after_a_stall() -> None:
+    """Guards against a route that is rejected permanently after one stall.
 
-    All slots are busy with reports from then on. Judged by the one time that
-    was measured, every further call looks hopeless, is refused, and so no
-    better time is ever measured; calls fail there until the node restarts.
+    A target stalls for two seconds while a call runs; afterwards all slots are
+    busy with reports. With the one measured service time every further call
+    would be rejected as too slow, so no better time would ever be measured, and
+    calls would fail at this target until the node restarts.
     """
     target = Target()
     admission = target.admission
-    slow = AdmissionRequest(
+    stalled = AdmissionRequest(
         TrafficClass.INTERNAL, "call", 5000, objective_at_ms=150
     )
-    admission.offer(slow, 0)
-    admission.finish(slow, WorkResult.RESPONDED, 2000)
+    admission.offer(stalled, 0)
+    admission.finish(stalled, WorkResult.RESPONDED, 2000)
     target.events.now_ms = 2000
     target.load(attrs.evolve(REPORT, per_s=120, timeout_ms=6000), 2000, 8000)
     target.load(CALL, 3000, 8000)
     target.events.run()
-    assert target.part("call", "in aim") > 0.7
+    assert target.fraction("call", "within objective") > 0.7
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_exchange.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Requests on a stream: who gets which frame, and what a break means."""
+"""Tests of the requests on a stream: frames, cancellations and breaks."""
 
 from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -18,29 +18,30 @@
 
 
 class StreamMachine(RuleBasedStateMachine):
-    """Any frame may come at any time; a plain model says who is waiting.
+    """Compares the exchange table with a plain model for frames in any order.
 
-    A peer with a fault, a reset connection or a late answer brings frames in
-    an order that no test writer thinks of. A user would notice as an answer
-    that belongs to somebody else, or a reorder reported as not run that ran.
+    Guards against a response that reaches the wrong caller and against a
+    request that ran but is reported as not run. A faulty peer, a reset
+    connection or a late response causes frames in orders that hand-written
+    tests would miss.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.table = ExchangeTable(WINDOW)
         self.states: dict[int, ExchangeState] = {}
-        self.left: dict[int, int] = {}
+        self.credit: dict[int, int] = {}
         self.written: set[int] = set()
-        self.used: set[int] = set()
+        self.opened: set[int] = set()
         self.dropped = 0
 
     @rule()
     def open(self) -> None:
         request_id = self.table.open()
-        assert request_id not in self.used
-        self.used.add(request_id)
+        assert request_id not in self.opened
+        self.opened.add(request_id)
         self.states[request_id] = ExchangeState.QUEUED
-        self.left[request_id] = WINDOW
+        self.credit[request_id] = WINDOW
 
     @rule(request_id=IDS)
     def write(self, request_id: int) -> None:
@@ -51,18 +52,18 @@
 
     @rule(request_id=IDS, more=strategies.booleans())
     def reply(self, request_id: int, more: bool) -> None:
-        verdict = self.table.on_reply(request_id, more)
+        decision = self.table.on_reply(request_id, more)
         state = self.states.get(request_id)
         if state is None:
             self.dropped += 1
-            assert verdict is FrameDecision.DROP
+            assert decision is FrameDecision.DROP
         elif state is not ExchangeState.SENT:
-            assert verdict is FrameDecision.VIOLATION
+            assert decision is FrameDecision.VIOLATION
         elif more:
-            assert verdict is FrameDecision.DELIVER
+            assert decision is FrameDecision.DELIVER
             self.states[request_id] = ExchangeState.RESPONDING
         else:
-            assert verdict is FrameDecision.DELIVER
+            assert decision is FrameDecision.DELIVER
             del self.states[request_id]
 
     @rule(
@@ -74,32 +75,32 @@
     def chunk(
         self, request_id: int, size: int, more: bool, aborted: bool
     ) -> None:
-        verdict = self.table.on_chunk(request_id, size, more, aborted)
+        decision = self.table.on_chunk(request_id, size, more, aborted)
         state = self.states.get(request_id)
         if state is None:
             self.dropped += 1
-            assert verdict is FrameDecision.DROP
+            assert decision is FrameDecision.DROP
             return
         if state is not ExchangeState.RESPONDING:
-            assert verdict is FrameDecision.VIOLATION
+            assert decision is FrameDecision.VIOLATION
             return
-        self.left[request_id] -= size
-        if self.left[request_id] < 0:
-            assert verdict is FrameDecision.VIOLATION
+        self.credit[request_id] -= size
+        if self.credit[request_id] < 0:
+            assert decision is FrameDecision.VIOLATION
             return
-        assert verdict is FrameDecision.DELIVER
+        assert decision is FrameDecision.DELIVER
         if aborted or not more:
             del self.states[request_id]
 
     @rule(request_id=IDS, size=SIZES)
     def grant(self, request_id: int, size: int) -> None:
-        told = self.table.grant_credit(request_id, size)
-        assert told is (request_id in self.states)
-        if told:
-            self.left[request_id] += size
+        granted = self.table.grant_credit(request_id, size)
+        assert granted is (request_id in self.states)
+        if granted:
+            self.credit[request_id] += size
 
     @rule(request_id=IDS)
-    def give_up(self, request_id: int) -> None:
+    def expire(self, request_id: int) -> None:
         state = self.table.cancel(request_id)
         assert state is self.states.pop(request_id, None)
         if state is not None:
@@ -107,14 +108,14 @@
             assert not_run is (request_id not in self.written)
 
     @rule(last_id=IDS)
-    def peer_stops(self, last_id: int) -> None:
-        refused = self.table.on_stream_closing(last_id)
-        assert refused == [item for item in self.states if item > last_id]
-        for request_id in refused:
+    def peer_closes_stream(self, last_id: int) -> None:
+        not_run_ids = self.table.on_stream_closing(last_id)
+        assert not_run_ids == [item for item in self.states if item > last_id]
+        for request_id in not_run_ids:
             del self.states[request_id]
 
     @rule()
-    def lose(self) -> None:
+    def lose_stream(self) -> None:
         for request_id, kind in self.table.on_stream_lost():
             del self.states[request_id]
             not_run = kind is ErrorKind.PEER_UNREACHABLE
@@ -122,7 +123,7 @@
         assert not self.states
 
     @invariant()
-    def agrees(self) -> None:
+    def table_matches_model(self) -> None:
         states = {
             request_id: exchange.state
             for request_id, exchange in self.table.exchanges.items()
@@ -139,10 +140,11 @@
 
 
 def test_age_of_held_up_frame() -> None:
-    """A node that was paused for seconds reads requests whose callers left.
+    """Guards against requests that run after their callers have given up.
 
-    Clocks of two nodes have nothing in common, so the age shows only against
-    the frames that came through quickly.
+    A node that was paused for seconds reads old requests from its socket. The
+    clocks of two nodes are not synchronised, so the age is measured against the
+    fastest frames.
     """
     age = FrameAge()
     assert age.age_ms(sent_ms=1_000, received_ms=501_002) == 0
@@ -152,10 +154,11 @@
 
 
 def test_age_forgets_old_clock_difference() -> None:
-    """Clocks drift apart by seconds over weeks on a stream that stays open.
+    """Guards against rejections caused by clock drift.
 
-    Against a minimum kept for ever, every request would look aged and be
-    refused.
+    The clocks of two nodes drift apart by seconds over weeks on a stream that
+    stays open. Against a minimum that never expires, every request would look
+    old and be rejected.
     """
     age = FrameAge(period_ms=100)
     for step in range(1_000):
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_quarantine.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Suspicions, acquittals and quarantines of requests that crash targets."""
+"""Tests of suspicions and quarantines of requests that crash targets."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,86 +13,103 @@
 )
 from pomelobank_core._quarantine import MAX_ENTRIES
 
-BAD = fingerprint("stock", "GET", b"/stock/bad", b"")
-GOOD = fingerprint("stock", "GET", b"/stock/1", b"")
+FAULTY = fingerprint("stock", "GET", b"/stock/bad", b"")
+HARMLESS = fingerprint("stock", "GET", b"/stock/1", b"")
 
 
-def _crash(table: QuarantineTable, *prints: bytes, now_ms: float) -> None:
-    alone = len(prints) == 1
-    for item in prints:
+def _add_crash(
+    table: QuarantineTable, *fingerprints: bytes, now_ms: float
+) -> None:
+    alone = len(fingerprints) == 1
+    for item in fingerprints:
         table.add(Evidence(item, POINTS_TARGET_LOST, alone), now_ms)
 
 
-def test_crash_then_crash_alone() -> None:
-    """One look-up crashes a target, takes a good one down with it, comes back.
+def test_second_crash_alone_causes_a_quarantine() -> None:
+    """Guards against a quarantine of requests that ran beside a faulty one.
 
-    Both run alone next; the good one is cleared by that and the bad one is
-    stopped. Without the second step a customer's look-up would be refused for
-    a minute because of what ran beside it.
+    One look-up crashes a target together with a harmless look-up, and both are
+    retried. Both run alone next: the harmless look-up ends and is cleared, the
+    faulty one crashes again and is quarantined. Without the isolated run the
+    harmless look-up would be rejected for a minute.
     """
     table = QuarantineTable()
-    _crash(table, BAD, GOOD, now_ms=0)
-    assert table.state(BAD, 1) is QuarantineState.SUSPECT
-    assert table.state(GOOD, 1) is QuarantineState.SUSPECT
-    table.add(Evidence(GOOD, cleared=True), 20)
-    _crash(table, BAD, now_ms=30)
-    assert table.state(GOOD, 31) is QuarantineState.CLEAR
-    assert table.state(BAD, 31) is QuarantineState.QUARANTINED
-    assert table.retry_after_ms(BAD, 31) == 59_999
-
-
-def test_killed_target_with_one_request() -> None:
-    """An operator kills a target that runs one request; that proves nothing."""
+    _add_crash(table, FAULTY, HARMLESS, now_ms=0)
+    assert table.state(FAULTY, 1) is QuarantineState.SUSPECT
+    assert table.state(HARMLESS, 1) is QuarantineState.SUSPECT
+    table.add(Evidence(HARMLESS, cleared=True), 20)
+    _add_crash(table, FAULTY, now_ms=30)
+    assert table.state(HARMLESS, 31) is QuarantineState.CLEAR
+    assert table.state(FAULTY, 31) is QuarantineState.QUARANTINED
+    assert table.retry_after_ms(FAULTY, 31) == 59_999
+
+
+def test_a_killed_target_is_no_proof() -> None:
+    """Guards against a quarantine after an operator kills a target.
+
+    The target ran one request, which did not cause the crash.
+    """
     table = QuarantineTable()
-    _crash(table, GOOD, now_ms=0)
-    assert table.state(GOOD, 1) is QuarantineState.SUSPECT
+    _add_crash(table, HARMLESS, now_ms=0)
+    assert table.state(HARMLESS, 1) is QuarantineState.SUSPECT
 
 
-def test_each_further_crash_doubles_the_time() -> None:
+def test_each_further_crash_doubles_the_quarantine() -> None:
+    """Guards against a faulty request that costs one target every minute."""
     table = QuarantineTable()
-    _crash(table, BAD, now_ms=0)
-    _crash(table, BAD, now_ms=1)
-    assert table.state(BAD, 60_002) is QuarantineState.SUSPECT
-    _crash(table, BAD, now_ms=60_002)
-    assert table.state(BAD, 60_002 + 119_000) is QuarantineState.QUARANTINED
+    _add_crash(table, FAULTY, now_ms=0)
+    _add_crash(table, FAULTY, now_ms=1)
+    assert table.state(FAULTY, 60_002) is QuarantineState.SUSPECT
+    _add_crash(table, FAULTY, now_ms=60_002)
+    assert table.state(FAULTY, 60_002 + 119_000) is QuarantineState.QUARANTINED
 
 
-def test_herd_of_nodes_suspects_nobody_at_once() -> None:
-    """A rack of nodes loses its power with hundreds of requests in flight."""
+def test_one_lost_node_makes_no_suspect() -> None:
+    """Guards against suspicions after many nodes fail at once.
+
+    A rack of nodes loses its power with hundreds of requests in flight; one
+    lost node does not make a request a suspect.
+    """
     table = QuarantineTable()
-    table.add(Evidence(GOOD, POINTS_NODE_LOST), 0)
-    assert table.state(GOOD, 1) is QuarantineState.CLEAR
-    table.add(Evidence(GOOD, POINTS_NODE_LOST), 2)
-    assert table.state(GOOD, 3) is QuarantineState.SUSPECT
+    table.add(Evidence(HARMLESS, POINTS_NODE_LOST), 0)
+    assert table.state(HARMLESS, 1) is QuarantineState.CLEAR
+    table.add(Evidence(HARMLESS, POINTS_NODE_LOST), 2)
+    assert table.state(HARMLESS, 3) is QuarantineState.SUSPECT
 
 
-def test_never_alone_yet_stopped() -> None:
-    """Resends crash targets in company, faster than the news travels."""
+def test_quarantine_without_an_isolated_run() -> None:
+    """Guards against a faulty request that never runs alone.
+
+    Its retries start beside other requests before the evidence arrives.
+    """
     table = QuarantineTable()
     for now_ms in (0, 1, 2):
-        _crash(table, BAD, GOOD, now_ms=now_ms)
-    assert table.state(BAD, 3) is QuarantineState.QUARANTINED
+        _add_crash(table, FAULTY, HARMLESS, now_ms=now_ms)
+    assert table.state(FAULTY, 3) is QuarantineState.QUARANTINED
 
 
-def test_end_elsewhere_does_not_lift_a_quarantine() -> None:
+def test_a_normal_end_does_not_lift_a_quarantine() -> None:
+    """Guards against a quarantine that a normal end elsewhere lifts."""
     table = QuarantineTable()
-    _crash(table, BAD, now_ms=0)
-    _crash(table, BAD, now_ms=1)
-    table.add(Evidence(BAD, cleared=True), 2)
-    assert table.state(BAD, 3) is QuarantineState.QUARANTINED
+    _add_crash(table, FAULTY, now_ms=0)
+    _add_crash(table, FAULTY, now_ms=1)
+    table.add(Evidence(FAULTY, cleared=True), 2)
+    assert table.state(FAULTY, 3) is QuarantineState.QUARANTINED
 
 
-def test_suspicion_is_forgotten() -> None:
+def test_suspicion_expires() -> None:
+    """Guards against suspicions that keep a request isolated permanently."""
     table = QuarantineTable()
-    _crash(table, GOOD, now_ms=0)
-    assert table.state(GOOD, 600_000) is QuarantineState.CLEAR
+    _add_crash(table, HARMLESS, now_ms=0)
+    assert table.state(HARMLESS, 600_000) is QuarantineState.CLEAR
     assert not table.entries
 
 
-def test_parts_of_a_fingerprint_do_not_run_together() -> None:
-    one = fingerprint("ab", "GET", b"/x", b"")
-    other = fingerprint("a", "bGET", b"/x", b"")
-    assert one != other
+def test_fields_of_a_fingerprint_are_delimited() -> None:
+    """Guards against equal fingerprints of different requests."""
+    first = fingerprint("ab", "GET", b"/x", b"")
+    second = fingerprint("a", "bGET", b"/x", b"")
+    assert first != second
 
 
 EVIDENCE = st.tuples(
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_retries.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries help with one failure and add little load to many."""
+"""Tests of retry decisions and of the load that retries add."""
 
 import random
 
@@ -73,36 +73,41 @@
     changes: dict[str, object], retried: bool
 ) -> None:
     attempt = attrs.evolve(FAILED, **changes)
-    verdict = RetryPolicy(random.Random(1)).decide("stock", attempt, 0)
-    assert (verdict is not None) is retried
+    retry = RetryPolicy(random.Random(1)).decide("stock", attempt, 0)
+    assert (retry is not None) is retried
 
 
-def test_failing_upstream_gets_a_tenth_more() -> None:
-    """Every target of an upstream breaks each connection.
+def test_failing_upstream_gets_ten_percent_more_load() -> None:
+    """Guards against retries that multiply the load of a failing upstream.
 
-    With free retries the upstream would get three times its usual load just
-    when it cannot even carry that.
+    Every target of the upstream refuses each connection. Without a budget the
+    retries would triple the upstream's load while the upstream cannot serve
+    even its normal load.
     """
     retries = RetryPolicy(random.Random(1))
-    tries = 0
+    attempts = 0
     for now_ms in range(0, 10_000, 2):
         retries.on_first_attempt("stock", now_ms)
-        tries += 1
-        for number in range(1, 4):
-            attempt = attrs.evolve(FAILED, attempts=number)
+        attempts += 1
+        for attempt_number in range(1, 4):
+            attempt = attrs.evolve(FAILED, attempts=attempt_number)
             if retries.decide("stock", attempt, now_ms) is None:
                 break
-            tries += 1
-    assert tries <= 5000 * 1.1 + MAX_BUDGET + 10
+            attempts += 1
+    assert attempts <= 5000 * 1.1 + MAX_BUDGET + 10
 
 
 def test_runs_stay_bounded_when_targets_die_one_by_one() -> None:
-    """Targets die under load every 200 ms until one of four is left."""
+    """Guards against requests that run on too many targets.
+
+    Under load, three of four targets die, 200 ms apart.
+    """
     fleet = Fleet([member(f"t{number}") for number in range(4)])
     fleet.load(400, 3000)
     for number in range(3):
         fleet.events.schedule(
-            500 + 200 * number, lambda n=number: fleet.kill(f"t{n}")
+            500 + 200 * number,
+            lambda n=number: fleet.kill(f"t{n}"),
         )
     fleet.events.run()
     outcomes = fleet.outcomes()
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_shutdown_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_shutdown_admission.py
@@ -1,4 +1,4 @@
-"""Requests that a stopping node still takes."""
+"""Tests of the requests that a stopping node still accepts."""
 
 import pytest
 
@@ -13,16 +13,16 @@
         pytest.param(6000, 200, id="past the end"),
     ],
 )
-def test_a_refused_caller_retries_after_the_end(
+def test_a_rejected_caller_retries_after_the_shutdown(
     now_ms: float, retry_after_ms: int
 ) -> None:
     """Guards against callers that spend all attempts on a stopping node."""
-    last_requests = ShutdownAdmission(shutdown_at_ms=5000)
-    assert last_requests.retry_after_ms(now_ms) == retry_after_ms
+    admission = ShutdownAdmission(shutdown_at_ms=5000)
+    assert admission.retry_after_ms(now_ms) == retry_after_ms
 
 
 @pytest.mark.parametrize(
-    ("ends_at_ms", "remaining_ms", "now_ms", "takes"),
+    ("shutdown_at_ms", "remaining_ms", "now_ms", "is_accepted"),
     [
         pytest.param(None, 9000, 0, True, id="not stopping"),
         pytest.param(5000, 500, 4000, True, id="time enough"),
@@ -31,8 +31,14 @@
         pytest.param(5000, 500, 6000, False, id="past the end"),
     ],
 )
-def test_what_may_outlast_the_node_is_not_taken(
-    ends_at_ms: float | None, remaining_ms: float, now_ms: float, takes: bool
+def test_a_request_that_may_outlast_the_node_is_rejected(
+    shutdown_at_ms: float | None,
+    remaining_ms: float,
+    now_ms: float,
+    is_accepted: bool,
 ) -> None:
-    """Guards against a late request that is cut off while a target runs it."""
-    assert ShutdownAdmission(ends_at_ms).accepts(remaining_ms, now_ms) is takes
+    """Guards against a request that is cut off while a target runs it."""
+    assert (
+        ShutdownAdmission(shutdown_at_ms).accepts(remaining_ms, now_ms)
+        is is_accepted
+    )
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_stop_order.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_stop_order.py
@@ -1,4 +1,4 @@
-"""Order in which a data centre's nodes end when they stop together."""
+"""Tests of the order in which a data centre's nodes end together."""
 
 import pytest
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    ("states", "waits"),
+    ("states", "must_wait_expected"),
     [
         pytest.param([], False, id="all ready"),
         pytest.param([MemberState.DRAINING], False, id="one of three draining"),
@@ -44,7 +44,7 @@
     ],
 )
 def test_the_second_group_waits_while_half_of_the_first_is_not_ready(
-    states: list[MemberState], waits: bool
+    states: list[MemberState], must_wait_expected: bool
 ) -> None:
     """Guards against all nodes of a data centre ending at the same time."""
     second = _second_group()
@@ -54,7 +54,7 @@
         _entry(node, states_by_node.get(node, MemberState.READY))
         for node in NODES
     ]
-    assert StopOrder(second[0], "a").must_wait(members) is waits
+    assert StopOrder(second[0], "a").must_wait(members) is must_wait_expected
     assert not StopOrder(first[0], "a").must_wait(members)
 
 
@@ -62,6 +62,6 @@
     """Guards against a stop that is delayed by nodes of another data centre."""
     members = [_entry(node, MemberState.READY) for node in NODES]
     members += [
-        _entry(f"far-{number}", MemberState.GONE, "b") for number in range(9)
+        _entry(f"remote-{number}", MemberState.GONE, "b") for number in range(9)
     ]
     assert not any(StopOrder(n, "a").must_wait(members) for n in NODES)
