--- a/packages/pomelobank-node/src/pomelobank_node/published/__init__.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/__init__.py
@@ -1,4 +1,4 @@
-"""A whole configuration that operators publish as one document."""
+"""Distribution of configurations that operators publish as one document."""
 
 from pomelobank_node.published._feed import PublishedFeed
 from pomelobank_node.published._source import (
--- a/packages/pomelobank-node/src/pomelobank_node/published/_packing.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_packing.py
@@ -1,65 +1,70 @@
-"""Packs documents for the way between nodes."""
+"""Compresses documents before nodes send them to each other."""
 
 from collections import deque
 
 import attrs
 import zstandard
 
-# Level 3 packs 350 KB in two milliseconds; higher ones take four times as long
-# and save a tenth.
-_LEVEL = 3
-# A document is some hundred kilobytes; a broken peer cannot fill the memory.
+# Level 3 compresses 350 KB in 2 ms. Higher levels take four times as long and
+# save a tenth of the size.
+_COMPRESSION_LEVEL = 3
+# A document has some hundred kilobytes. The limit keeps a broken peer from
+# filling this node's memory with one frame.
 _MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
-# Earlier documents that are kept, packed, as bases. Changes come in quick
-# succession at times, and a neighbour may be a few versions behind.
-_KEPT = 4
+# Limit of the earlier documents that are kept, compressed, as delta bases.
+# Changes sometimes follow each other quickly, so a peer of the same data centre
+# may be a few versions behind.
+_MAX_KEPT_DOCUMENTS = 4
 
 
 class PackingError(Exception):
-    """A packed document cannot be read."""
+    """A compressed document cannot be decompressed."""
 
 
 def pack(data: bytes, base: bytes = b"") -> bytes:
-    """Packs a document.
+    """Compresses a document, as a delta to an earlier one where given.
 
-    Successive documents are mostly the same. Next to its base, one of 350 KB
-    with one route changed takes 0.1 KB, alone it takes 23 KB; sent to ten
-    neighbours on a line of 2.5 Mbit/s, that is most of a second in which
-    requests wait behind it.
+    Successive documents are nearly equal. A document of 350 KB with one route
+    changed takes 0.1 KB as a delta to its base and 23 KB without a base.
+    23 KB sent to ten peers on a network link of 2.5 Mbit/s keep requests
+    waiting behind the document for most of a second.
 
     Args:
         data: The document.
-        base: An earlier one that the receiver has; empty for none.
+        base: An earlier document that the receiver has; empty for none.
     """
     parameters = zstandard.ZstdCompressionParameters.from_level(
-        _LEVEL,
+        _COMPRESSION_LEVEL,
         source_size=len(data),
         dict_size=len(base),
         write_checksum=True,
     )
-    packer = zstandard.ZstdCompressor(
+    compressor = zstandard.ZstdCompressor(
         compression_params=parameters, dict_data=_dictionary(base)
     )
-    return packer.compress(data)
+    return compressor.compress(data)
 
 
 def unpack(packed: bytes, base: bytes = b"") -> bytes:
-    """Returns a packed document.
+    """Decompresses a document.
 
     Args:
-        packed: What `pack` returned.
-        base: The base that it was packed with.
+        packed: The result of `pack`.
+        base: The base that `pack` was called with.
 
     Raises:
-        PackingError: If it was not packed with this base, or is broken or too
-            large.
+        PackingError: If the document was compressed with another base, or is
+            corrupt or too large.
     """
-    unpacker = zstandard.ZstdDecompressor(dict_data=_dictionary(base))
+    decompressor = zstandard.ZstdDecompressor(dict_data=_dictionary(base))
     try:
         size = zstandard.frame_content_size(packed)
         if not 0 <= size <= _MAX_DOCUMENT_BYTES:
-            raise PackingError(f"its size cannot be {size} bytes")
-        return unpacker.decompress(packed)
+            raise PackingError(
+                f"decompressed size of {size} bytes is not within"
+                f" 0 to {_MAX_DOCUMENT_BYTES} bytes"
+            )
+        return decompressor.decompress(packed)
     except zstandard.ZstdError as error:
         raise PackingError(str(error)) from None
 
@@ -74,11 +79,11 @@
 
 @attrs.frozen
 class PackedDocument:
-    """An earlier document.
+    """An earlier document, compressed.
 
     Attributes:
-        version: Its version.
-        packed: The document, packed alone.
+        version: The document's version.
+        packed: The document, compressed without a base.
     """
 
     version: int
@@ -87,23 +92,23 @@
 
 @attrs.define
 class DocumentHistory:
-    """The newest of the earlier documents, as bases for later ones.
+    """The newest of the earlier documents, as bases for deltas.
 
     Attributes:
-        kept: The documents, the newest at the end.
+        documents: The documents, oldest first.
     """
 
-    kept: deque[PackedDocument] = attrs.field(
-        factory=lambda: deque(maxlen=_KEPT)
+    documents: deque[PackedDocument] = attrs.field(
+        factory=lambda: deque(maxlen=_MAX_KEPT_DOCUMENTS)
     )
 
     def keep(self, version: int, data: bytes) -> None:
-        """Keeps a document that is about to be replaced."""
-        self.kept.append(PackedDocument(version, pack(data)))
+        """Adds a document that a newer version is about to replace."""
+        self.documents.append(PackedDocument(version, pack(data)))
 
     def get(self, version: int) -> bytes:
-        """Returns the document of a version; empty where it is not kept."""
-        for document in self.kept:
+        """Returns the document of a version; empty if it is not kept."""
+        for document in self.documents:
             if document.version == version:
                 return unpack(document.packed)
         return b""
--- a/packages/pomelobank-node/src/pomelobank_node/published/_peer_publisher.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_peer_publisher.py
@@ -1,4 +1,4 @@
-"""Tells peers of published configurations."""
+"""Sends published configurations and their versions to peers."""
 
 import asyncio
 import logging
@@ -21,27 +21,29 @@
 
 _logger = logging.getLogger(__name__)
 
-# Neighbours that the reader sends the document to. Each of them tells all
-# others, who ask whoever told them first. The reader may be on a line of
-# 2.5 Mbit/s, which takes a quarter of a second for a document of 350 KB that
-# is packed to a fifth; four of them are there within a second.
-NEAR_PUSHED = 4
-# Age of the newest read in the digest of a node that cannot read.
+# Limit of the peers in its own data centre to which the reader sends a new
+# document. Each of these peers notifies all others there, which pull the
+# document from the first peer that notified them. The reader's network link may
+# have 2.5 Mbit/s, and a document of 350 KB, compressed to a fifth, takes a
+# quarter of a second on it; so four documents arrive within a second.
+MAX_LOCAL_PUSHES = 4
+# Value of `log_age_ms` in the digest of a node that cannot read the source.
 NO_READ_AGE_MS = -1
 
 
 @attrs.define(eq=False)
 class PeerPublisher:
-    """Sends documents and digests to peers.
+    """Sends documents and version digests to peers.
 
     Attributes:
         store: The configuration in force.
-        members: The members that the node knows.
+        members: The members known to this node.
         links: Streams to peers.
         rng: Source of randomness.
-        pushes: The document in force, packed, by the version that the
-            receiver has. To pack it takes milliseconds, and many may ask for
-            it at once.
+        pushes: The document in force, compressed, by the version that the
+            receiver has. Compressing takes milliseconds, and many peers may
+            pull the document at the same time.
+        send_tasks: Frames that are being sent.
     """
 
     store: PublishedStore
@@ -49,31 +51,31 @@
     links: PeerLinks
     rng: random.Random
     pushes: dict[int, DocumentPush] = attrs.field(factory=dict)
-    sends: set[asyncio.Task[None]] = attrs.field(factory=set)
+    send_tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     async def stop(self) -> None:
-        """Ends what is being sent."""
-        sends = list(self.sends)
-        for task in sends:
+        """Cancels the frames that are being sent."""
+        send_tasks = list(self.send_tasks)
+        for task in send_tasks:
             task.cancel()
-        await asyncio.gather(*sends, return_exceptions=True)
+        await asyncio.gather(*send_tasks, return_exceptions=True)
 
     def local_members(self) -> list[MemberEntry]:
-        """Returns the members of the own data centre."""
+        """Returns the healthy members of this node's data centre."""
         return [item for item in self.healthy_members() if self.is_local(item)]
 
     def remote_members(self) -> list[MemberEntry]:
-        """Returns the members of other data centres."""
+        """Returns the healthy members of other data centres."""
         return [
             item for item in self.healthy_members() if not self.is_local(item)
         ]
 
     def is_local(self, entry: MemberEntry) -> bool:
-        """Tells whether a member is in the own data centre."""
+        """Tells whether a member is in this node's data centre."""
         return entry.data_centre == self.members.own.data_centre
 
     def healthy_members(self) -> list[MemberEntry]:
-        """Returns the members that are not in doubt."""
+        """Returns the present members that are not suspected."""
         suspect = MemberState.SUSPECT.value
         return [
             item for item in self.members.present() if item.state != suspect
@@ -85,29 +87,36 @@
         previous_version: int,
         relays: Iterable[MemberEntry],
     ) -> None:
-        """Tells of a version that was just read from the source.
+        """Announces a version that this node has just read from the source.
 
         Args:
-            read_age_ms: Age of the newest read.
-            previous_version: The version that was in force until then; most
-                neighbours have it too.
-            relays: The members that inform the other data centres.
+            read_age_ms: Age of the newest read, in ms.
+            previous_version: The version that was in force until now. Most
+                peers have that version too, so it is the base of the delta.
+            relays: The members that pass the version on in the other data
+                centres.
         """
-        told = {entry.node: entry for entry in (*relays, *self._some_far())}
+        digest_recipients = {
+            entry.node: entry
+            for entry in (*relays, *self._one_member_per_remote_centre())
+        }
         digest = self.digest(read_age_ms, heartbeat=False)
-        self.send(told.values(), digest)
-        near = self.local_members()
-        pushed = self.rng.sample(near, min(NEAR_PUSHED, len(near)))
-        self.send(pushed, self.document_push(previous_version))
+        self.send(digest_recipients.values(), digest)
+        local = self.local_members()
+        push_recipients = self.rng.sample(
+            local, min(MAX_LOCAL_PUSHES, len(local))
+        )
+        self.send(push_recipients, self.document_push(previous_version))
 
-    def _some_far(self) -> list[MemberEntry]:
-        # A relay may have just died, so one more of each data centre is told.
-        far = self.remote_members()
-        self.rng.shuffle(far)
-        return list({entry.data_centre: entry for entry in far}.values())
+    def _one_member_per_remote_centre(self) -> list[MemberEntry]:
+        # A relay may have died a moment ago, so a second member of each data
+        # centre gets the digest as well.
+        remote = self.remote_members()
+        self.rng.shuffle(remote)
+        return list({entry.data_centre: entry for entry in remote}.values())
 
     def digest(self, read_age_ms: int, heartbeat: bool) -> VersionDigest:
-        """Returns the own version and the age of the newest read."""
+        """Returns this node's version and the age of the newest read."""
         return VersionDigest(
             version=self.store.version,
             address=self.members.own.peer_address,
@@ -118,10 +127,10 @@
         )
 
     def document_push(self, base_version: int) -> DocumentPush:
-        """Returns the document in force.
+        """Returns the push of the document in force.
 
         Args:
-            base_version: Version that the receiver has; 0 for none.
+            base_version: The version that the receiver has; 0 for none.
         """
         push = self.pushes.get(base_version)
         if push is not None and push.version == self.store.version:
@@ -151,12 +160,12 @@
             self.post(entry.peer_address, frame)
 
     def post(self, address: str, frame: WireMessage) -> None:
-        """Sends a frame to one address, without waiting for it."""
+        """Starts to send a frame to one address and returns at once."""
         if not address:
             return
         task = asyncio.create_task(self._deliver(address, frame))
-        self.sends.add(task)
-        task.add_done_callback(self.sends.discard)
+        self.send_tasks.add(task)
+        task.add_done_callback(self.send_tasks.discard)
 
     async def _deliver(self, address: str, frame: WireMessage) -> None:
         try:
--- a/packages/pomelobank-node/src/pomelobank_node/published/_source.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_source.py
@@ -1,4 +1,4 @@
-"""Where published configurations are read, whichever client serves it."""
+"""Interface to the source from which nodes read published configurations."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -8,10 +8,10 @@
 
 @attrs.frozen
 class SourceError(Exception):
-    """A read that failed; it is tried again.
+    """A failed read of the source; the feed reads again later.
 
     Attributes:
-        message: What happened.
+        message: Cause of the failure, for the log.
     """
 
     message: str
@@ -19,11 +19,12 @@
 
 @attrs.frozen
 class Document:
-    """A configuration as it was read.
+    """A configuration document as read from the source.
 
     Attributes:
         data: The document's bytes.
-        position: Place in the source after it; what is read later is newer.
+        position: Position in the source after this document. A read after this
+            position returns newer documents only.
     """
 
     data: bytes
@@ -31,16 +32,17 @@
 
 
 class PublishedSource(Protocol):
-    """Reads the newest configuration and waits for newer ones.
+    """Reads the newest configuration and long-polls for newer ones.
 
     Attributes:
-        on_progress: Called with each part of an answer that takes long.
+        on_progress: Called with each chunk of a response that takes long to
+            arrive; None for no call.
     """
 
     on_progress: Callable[[], None] | None
 
     async def newest(self) -> Document | None:
-        """Returns the newest configuration, None where there is none yet.
+        """Returns the newest configuration, None if none was published yet.
 
         Raises:
             SourceError: If the source does not answer.
@@ -52,11 +54,11 @@
         """Waits for configurations after a position and returns the newest.
 
         Args:
-            position: Place up to which everything is known.
-            wait_ms: Longest wait.
+            position: Position up to which the node has read the source.
+            wait_ms: Maximum wait in ms.
 
         Returns:
-            The newest one, None where none came in time.
+            The newest document, None if none was published within the wait.
 
         Raises:
             SourceError: If the source does not answer.
--- a/packages/pomelobank-node/src/pomelobank_node/published/_store.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_store.py
@@ -1,4 +1,4 @@
-"""Holds the published configuration in force."""
+"""Holds the published configuration that is in force."""
 
 import asyncio
 import logging
@@ -16,11 +16,11 @@
 
 @attrs.frozen
 class PublishedConfig:
-    """One configuration, whole.
+    """A decoded configuration document.
 
     Attributes:
-        routes: Its routes, with its version.
-        limits: What callers may send.
+        routes: The document's routes, with the document's version.
+        limits: Limits on callers' HTTP requests.
     """
 
     routes: RouteTable
@@ -28,47 +28,51 @@
 
     @property
     def version(self) -> int:
-        """Its version."""
+        """The document's version."""
         return self.routes.version
 
 
 Decoder = Callable[[bytes], PublishedConfig]
 
 
-def _nothing() -> PublishedConfig:
+def _empty_config() -> PublishedConfig:
     return PublishedConfig(RouteTable(0, {}), HttpLimits())
 
 
 @attrs.define(eq=False)
 class PublishedStore:
-    """The node's one reference to the configuration; it never goes back.
+    """Holds the configuration in force; its version never decreases.
 
-    Documents come from the source and from peers, some late, some twice, and
-    some from before the source lost its history. Only the version decides. One
-    that went back would send requests where the operator no longer wants them,
-    and a caller would notice by answers that alternate between two services.
+    Documents come from the source and from peers: some late, some twice, and
+    some from before the source lost its history. So the store compares versions
+    and ignores the order of arrival. If the store applied an older document,
+    the node would send requests to a service that the operator has moved them
+    away from, and callers would get answers that alternate between two
+    services.
 
     Attributes:
-        decode: Reads a document.
+        decode: Decodes a document.
         config: The configuration in force.
-        data: Its document, for peers.
-        history: Earlier documents.
-        ready: Whether there is one.
-        changed: Replaced and set whenever a newer one comes into force.
+        data: The document of that configuration, sent to peers.
+        history: Earlier documents, as bases for deltas.
+        ready: Whether any configuration is in force.
+        changed: Set, and replaced by a new event, whenever a newer
+            configuration comes into force.
         applied: Configurations that came into force, for the metrics.
-        unreadable: Documents that were passed over, for the metrics.
-        bad: Digest of the last document that was passed over.
+        unreadable: Documents that could not be decoded, for the metrics.
+        last_unreadable_hash: Hash of the last document that could not be
+            decoded. The same document is logged only once in a row.
     """
 
     decode: Decoder
-    config: PublishedConfig = attrs.field(factory=_nothing)
+    config: PublishedConfig = attrs.field(factory=_empty_config)
     data: bytes = b""
     history: DocumentHistory = attrs.field(factory=DocumentHistory)
     ready: bool = False
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
     applied: int = 0
     unreadable: int = 0
-    bad: int = 0
+    last_unreadable_hash: int = 0
 
     @property
     def version(self) -> int:
@@ -81,33 +85,33 @@
         return self.config.routes
 
     def document(self, version: int) -> bytes:
-        """Returns the document of a version; empty where it is not kept."""
+        """Returns the document of a version; empty if it is not kept."""
         if self.ready and version == self.version:
             return self.data
         return self.history.get(version)
 
     def offer(self, data: bytes, origin: str) -> bool:
-        """Takes a document, if it is sound and newer than what is in force.
+        """Applies a document if it is valid and newer than the one in force.
 
         Args:
             data: The document.
-            origin: Who brought it, for the log.
+            origin: `source` or the address of the sending peer, for the log.
 
         Returns:
-            Whether it came into force.
+            Whether the document came into force.
         """
         if data == self.data:
             return False
         try:
             config = self.decode(data)
         except SchemaError as error:
-            self._pass_over(data, error, origin)
+            self._handle_unreadable(data, error, origin)
             return False
         if self.ready and config.version <= self.version:
             return False
-        before = self.version
+        previous_version = self.version
         if self.ready:
-            self.history.keep(before, self.data)
+            self.history.keep(previous_version, self.data)
         self.config = config
         self.data = data
         self.ready = True
@@ -116,21 +120,23 @@
             "config.in_force",
             extra={
                 "version": config.version,
-                "before": before,
+                "before": previous_version,
                 "origin": origin,
                 "bytes": len(data),
             },
         )
-        moved, self.changed = self.changed, asyncio.Event()
-        moved.set()
+        signal, self.changed = self.changed, asyncio.Event()
+        signal.set()
         return True
 
-    def _pass_over(self, data: bytes, error: SchemaError, origin: str) -> None:
+    def _handle_unreadable(
+        self, data: bytes, error: SchemaError, origin: str
+    ) -> None:
         self.unreadable += 1
         digest = hash(data)
-        if digest == self.bad:
+        if digest == self.last_unreadable_hash:
             return
-        self.bad = digest
+        self.last_unreadable_hash = digest
         _logger.warning(
             "config.unreadable",
             extra={"origin": origin, "bytes": len(data), "error": str(error)},
--- a/packages/pomelobank-node/src/pomelobank_node/published/tests/test_hand_over.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/tests/test_hand_over.py
@@ -1,6 +1,6 @@
-"""Whoever can read the source reads it, and every node has what was published.
+"""Nodes that can read the source take over reading, and all nodes stay current.
 
-Real feeds on a network and a source of the test's own, in virtual time.
+The tests run real feeds on a simulated network and source, in virtual time.
 """
 
 import asyncio
@@ -33,28 +33,41 @@
 from pomelobank_schema.generated.peer import MemberEntry, MemberVersion
 
 NODES = {"hobart": 5, "burnie": 4, "launceston": 1}
-# More data centres than read.
-MANY = {f"data-centre-{number}": 4 for number in range(6)}
-LENGTH_S = 30.0
-# The store answers in 4 ms, and a lost answer is given up after half a second.
-ANSWER_S = 0.004
-LOST_S = 0.5
-# By this time after a publication every node must have it, whichever nodes the
-# source has turned away or left without an answer, as long as it serves one.
-IN_FORCE_S = 2.0
+# More data centres than readers.
+MANY_DATA_CENTRES = {f"data-centre-{number}": 4 for number in range(6)}
+DURATION_S = 30.0
+# The source answers in 4 ms; a node gives up a lost response after 0.5 s.
+RESPONSE_TIME_S = 0.004
+RESPONSE_TIMEOUT_S = 0.5
+# Every node must have a version within this time of its publication, whichever
+# nodes the source rejects or leaves without a response, as long as the source
+# serves at least one node.
+MAX_PROPAGATION_S = 2.0
 
 
 @attrs.define(eq=False)
-class World:
-    """The source, the network and the nodes."""
+class Simulation:
+    """The simulated source and network, and the feeds of all nodes.
+
+    Attributes:
+        rng: Source of randomness.
+        time: The virtual time.
+        nodes: Number of nodes by data centre.
+        version: The version that the source has published.
+        published: Set, and replaced, at every publication.
+        rejected: Nodes whose reads the source rejects.
+        unresponsive: Nodes whose reads get no response.
+        feeds: The nodes' feeds by address.
+        calls: Reads that the source has received.
+    """
 
     rng: random.Random
     time: VirtualTime
     nodes: dict[str, int] = attrs.field(factory=lambda: NODES)
     version: int = 1
     published: asyncio.Event = attrs.field(factory=asyncio.Event)
-    refused: set[str] = attrs.field(factory=set)
-    silent: set[str] = attrs.field(factory=set)
+    rejected: set[str] = attrs.field(factory=set)
+    unresponsive: set[str] = attrs.field(factory=set)
     feeds: dict[str, PublishedFeed] = attrs.field(factory=dict)
     calls: int = 0
 
@@ -66,9 +79,9 @@
 
 @attrs.define(eq=False)
 class Source:
-    """The source as one node sees it; a version is its place as well."""
+    """The source as one node sees it; positions equal versions."""
 
-    world: World
+    simulation: Simulation
     node: str
     on_progress: object = None
 
@@ -81,132 +94,143 @@
         return await self._read(position, wait_ms / 1000)
 
     async def _read(self, position: int, wait_s: float) -> Document | None:
-        world = self.world
-        world.calls += 1
-        await asyncio.sleep(ANSWER_S)
-        if self.node in world.refused:
+        simulation = self.simulation
+        simulation.calls += 1
+        await asyncio.sleep(RESPONSE_TIME_S)
+        if self.node in simulation.rejected:
             raise SourceError("refused")
-        if world.version <= position:
+        if simulation.version <= position:
             try:
                 async with asyncio.timeout(wait_s):
-                    await world.published.wait()
+                    await simulation.published.wait()
             except TimeoutError:
                 pass
-        if self.node in world.silent:
-            await asyncio.sleep(LOST_S)
+        if self.node in simulation.unresponsive:
+            await asyncio.sleep(RESPONSE_TIMEOUT_S)
             raise SourceError("no answer")
-        if world.version <= position:
+        if simulation.version <= position:
             return None
-        return Document(str(world.version).encode(), world.version)
+        return Document(str(simulation.version).encode(), simulation.version)
 
 
 @attrs.define(eq=False)
 class Link:
-    """Carries frames to one node."""
+    """Delivers frames to one node."""
 
-    world: World
+    simulation: Simulation
     address: str
 
     async def send(self, frame: WireMessage) -> None:
         asyncio.get_running_loop().call_later(
-            self.world.rng.uniform(0.001, 0.02), self._arrive, frame
+            self.simulation.rng.uniform(0.001, 0.02), self._arrive, frame
         )
 
     def _arrive(self, frame: WireMessage) -> None:
-        feed = self.world.feeds.get(self.address)
+        feed = self.simulation.feeds.get(self.address)
         if feed is not None:
             feed.receive(frame)
 
 
 @attrs.define(eq=False)
 class Links:
-    """Streams of one node."""
+    """The streams of one node to its peers."""
 
-    world: World
+    simulation: Simulation
 
     def to(self, address: str) -> Link:
-        return Link(self.world, address)
+        return Link(self.simulation, address)
 
 
-def build(world: World) -> None:
+def create_feeds(simulation: Simulation) -> None:
     entries = [
         member(f"{centre}-{number}", centre)
-        for centre, count in world.nodes.items()
+        for centre, count in simulation.nodes.items()
         for number in range(count)
     ]
     for entry in entries:
         table = MemberTable(entry)
         table.merge(item for item in entries if item is not entry)
-        world.feeds[entry.peer_address] = PublishedFeed(
-            Source(world, entry.node),  # type: ignore[arg-type]
+        simulation.feeds[entry.peer_address] = PublishedFeed(
+            Source(simulation, entry.node),  # type: ignore[arg-type]
             PublishedStore(decode),
             table,
-            Links(world),  # type: ignore[arg-type]
-            VirtualClock(world.time),
+            Links(simulation),  # type: ignore[arg-type]
+            VirtualClock(simulation.time),
             random.Random(entry.node),
         )
 
 
-async def gossip(world: World) -> None:
-    """Each node tells its version to another one twice a second."""
-    feeds = list(world.feeds.values())
+async def gossip(simulation: Simulation) -> None:
+    """Sends each node's version to a random other node twice a second."""
+    feeds = list(simulation.feeds.values())
     while True:
         await asyncio.sleep(0.5)
         for feed in feeds:
             own: MemberEntry = feed.members.own
-            told = MemberVersion(
+            announced = MemberVersion(
                 node=own.node,
                 incarnation=own.incarnation,
                 version=feed.store.version,
             )
-            world.rng.choice(feeds).members.merge_versions([told])
+            simulation.rng.choice(feeds).members.merge_versions([announced])
 
 
-async def tend(world: World) -> None:
-    """Each node does what is due about twice a second, as membership asks."""
+async def run_ticks(simulation: Simulation) -> None:
+    """Calls each feed's tick about twice a second, as membership does."""
     while True:
-        for feed in world.feeds.values():
+        for feed in simulation.feeds.values():
             feed.tick(feed.clock.now_ms())
-            await asyncio.sleep(world.rng.uniform(0, 1 / len(world.feeds)))
+            await asyncio.sleep(
+                simulation.rng.uniform(0, 1 / len(simulation.feeds))
+            )
 
 
-async def trouble(world: World, kinds: list[set[str]]) -> None:
-    """The source leaves some nodes out for a while, now these, now those."""
-    nodes = [feed.members.own.node for feed in world.feeds.values()]
+async def inject_source_faults(
+    simulation: Simulation, fault_sets: list[set[str]]
+) -> None:
+    """Lets the source reject or ignore random nodes for a while, repeatedly."""
+    nodes = [feed.members.own.node for feed in simulation.feeds.values()]
     while True:
-        await asyncio.sleep(world.rng.uniform(0, 4))
-        kind = world.rng.choice(kinds)
-        # One node at least is always served.
-        hit = world.rng.sample(nodes[1:], world.rng.randint(1, 8))
-        kind.update(hit)
-        await asyncio.sleep(world.rng.uniform(0.5, 6))
-        kind.clear()
-
-
-async def check(world: World) -> None:
-    """Publishes now and then, and looks whether every node has it in time."""
-    while world.time.now_s < LENGTH_S:
-        await asyncio.sleep(world.rng.uniform(0, 3))
-        world.publish()
-        wanted = world.version
-        await asyncio.sleep(IN_FORCE_S)
-        late = {
+        await asyncio.sleep(simulation.rng.uniform(0, 4))
+        fault_set = simulation.rng.choice(fault_sets)
+        # The source always serves at least one node.
+        affected = simulation.rng.sample(
+            nodes[1:], simulation.rng.randint(1, 8)
+        )
+        fault_set.update(affected)
+        await asyncio.sleep(simulation.rng.uniform(0.5, 6))
+        fault_set.clear()
+
+
+async def check_publications(simulation: Simulation) -> None:
+    """Publishes versions and asserts that every node has each in time."""
+    while simulation.time.now_s < DURATION_S:
+        await asyncio.sleep(simulation.rng.uniform(0, 3))
+        simulation.publish()
+        published_version = simulation.version
+        await asyncio.sleep(MAX_PROPAGATION_S)
+        outdated = {
             feed.members.own.node: feed.store.version
-            for feed in world.feeds.values()
-            if feed.store.version < wanted
+            for feed in simulation.feeds.values()
+            if feed.store.version < published_version
         }
-        assert not late, f"{wanted} at {world.time.now_s:.1f} s: {late}"
+        assert not outdated, (
+            f"version {published_version} at"
+            f" {simulation.time.now_s:.1f} s: {outdated}"
+        )
 
 
 @asynccontextmanager
-async def running(world: World) -> AsyncIterator[set[asyncio.Task[None]]]:
-    """Starts every node and what goes on beside them; ends all of it."""
-    build(world)
-    for feed in world.feeds.values():
+async def running_feeds(
+    simulation: Simulation,
+) -> AsyncIterator[set[asyncio.Task[None]]]:
+    """Starts every feed and the background tasks; stops all at the end."""
+    create_feeds(simulation)
+    for feed in simulation.feeds.values():
         await feed.start()
     tasks = {
-        asyncio.create_task(gossip(world)),
-        asyncio.create_task(tend(world)),
+        asyncio.create_task(gossip(simulation)),
+        asyncio.create_task(run_ticks(simulation)),
     }
     try:
         yield tasks
@@ -214,70 +238,92 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        for feed in world.feeds.values():
+        for feed in simulation.feeds.values():
             await feed.stop()
 
 
-async def play(world: World, troubled: bool) -> None:
-    async with running(world) as tasks:
-        if troubled:
-            kinds = [world.refused, world.silent]
-            tasks.add(asyncio.create_task(trouble(world, kinds)))
+async def run_simulation(simulation: Simulation, with_faults: bool) -> None:
+    async with running_feeds(simulation) as tasks:
+        if with_faults:
+            fault_sets = [simulation.rejected, simulation.unresponsive]
+            tasks.add(
+                asyncio.create_task(
+                    inject_source_faults(simulation, fault_sets)
+                )
+            )
         await asyncio.sleep(2)
-        await check(world)
+        await check_publications(simulation)
 
 
 @pytest.mark.parametrize("seed", range(10))
 @pytest.mark.parametrize(
-    "nodes", [pytest.param(NODES, id="few"), pytest.param(MANY, id="many")]
+    "nodes",
+    [pytest.param(NODES, id="few"), pytest.param(MANY_DATA_CENTRES, id="many")],
 )
-def test_what_is_published_is_in_force_wherever_the_source_is_read(
+def test_each_version_reaches_every_node_while_one_can_read(
     nodes: dict[str, int], seed: int
 ) -> None:
-    """Guards against readers that nobody relieves when they are turned away."""
+    """The source rejects or ignores some nodes at random, readers included.
+
+    If no other node took over from such a reader, all nodes would keep an
+    outdated configuration.
+    """
     time = VirtualTime()
-    world = World(random.Random(seed), time, nodes)
-    run_in_virtual_time(time, play(world, troubled=True))
+    simulation = Simulation(random.Random(seed), time, nodes)
+    run_in_virtual_time(time, run_simulation(simulation, with_faults=True))
 
 
 @pytest.mark.parametrize(
-    "nodes", [pytest.param(NODES, id="few"), pytest.param(MANY, id="many")]
+    "nodes",
+    [pytest.param(NODES, id="few"), pytest.param(MANY_DATA_CENTRES, id="many")],
 )
-def test_a_calm_source_is_asked_by_three_nodes_every_two_seconds(
+def test_a_healthy_source_is_read_by_three_nodes_every_two_seconds(
     nodes: dict[str, int],
 ) -> None:
-    """Guards against calls that grow with nodes or data centres."""
+    """Counts the reads of a source that serves every node.
+
+    The number of reads must not grow with the nodes or the data centres, since
+    calls to the source are expensive.
+    """
     time = VirtualTime()
-    world = World(random.Random(1), time, nodes)
-    run_in_virtual_time(time, play(world, troubled=False))
-    for_changes = READER_COUNT * world.version
-    at_rest = READER_COUNT * time.now_s * 1000 / LONG_POLL_MS
-    assert world.calls <= READER_COUNT + for_changes + at_rest
+    simulation = Simulation(random.Random(1), time, nodes)
+    run_in_virtual_time(time, run_simulation(simulation, with_faults=False))
+    reads_for_changes = READER_COUNT * simulation.version
+    idle_reads = READER_COUNT * time.now_s * 1000 / LONG_POLL_MS
+    assert simulation.calls <= READER_COUNT + reads_for_changes + idle_reads
 
 
-async def publish_while_silent(world: World, killed: set[str]) -> None:
-    async with running(world):
+async def publish_after_readers_died(
+    simulation: Simulation, killed: set[str]
+) -> None:
+    async with running_feeds(simulation):
         await asyncio.sleep(4)
-        readers = [feed for feed in world.feeds.values() if feed.is_reader()]
+        readers = [
+            feed for feed in simulation.feeds.values() if feed.is_reader()
+        ]
         killed.update(feed.members.own.node for feed in readers)
         for feed in readers:
             await feed.stop()
-            del world.feeds[feed.members.own.peer_address]
+            del simulation.feeds[feed.members.own.peer_address]
         await asyncio.sleep((MAX_READ_AGE_MS + HEARTBEAT_MS) / 1000)
-        world.publish()
-        await asyncio.sleep(IN_FORCE_S)
-        late = [
+        simulation.publish()
+        await asyncio.sleep(MAX_PROPAGATION_S)
+        outdated = [
             feed
-            for feed in world.feeds.values()
-            if feed.store.version < world.version
+            for feed in simulation.feeds.values()
+            if feed.store.version < simulation.version
         ]
-    assert not late
+    assert not outdated
+
 
+def test_readers_that_die_together_are_replaced() -> None:
+    """All readers die at the same time, and a version is published afterwards.
 
-def test_readers_that_die_together_are_relieved() -> None:
-    """Guards against a mesh that waits for readers which are gone."""
+    If the other nodes kept waiting for the dead readers, no node would get that
+    version.
+    """
     time = VirtualTime()
     killed: set[str] = set()
-    world = World(random.Random(1), time, MANY)
-    run_in_virtual_time(time, publish_while_silent(world, killed))
+    simulation = Simulation(random.Random(1), time, MANY_DATA_CENTRES)
+    run_in_virtual_time(time, publish_after_readers_died(simulation, killed))
     assert len(killed) == READER_COUNT
--- a/packages/pomelobank-node/src/pomelobank_node/published/tests/test_published.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/tests/test_published.py
@@ -1,4 +1,4 @@
-"""Published configurations: never back, and on to those who lack them."""
+"""Published configurations: versions never decrease and reach every peer."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,35 +29,35 @@
     VersionDigest,
 )
 
-GUARD_S = 20
+TEST_TIMEOUT_S = 20
 
 
 def decode(data: bytes) -> PublishedConfig:
-    """Reads a document that is nothing but its version."""
+    """Decodes a document that consists of its version only."""
     if not data.isdigit():
         raise SchemaError(SchemaErrorKind.MALFORMED, "", "no version")
     return PublishedConfig(RouteTable(int(data), {}), HttpLimits())
 
 
 class Links:
-    """Notes what is sent to whom."""
+    """Records the frames sent, with the address of each receiver."""
 
     def __init__(self) -> None:
-        self.sent: list[tuple[str, WireMessage]] = []
+        self.sent_frames: list[tuple[str, WireMessage]] = []
         self.address = ""
 
     def to(self, address: str) -> "Links":
         link = Links()
-        link.sent = self.sent
+        link.sent_frames = self.sent_frames
         link.address = address
         return link
 
     async def send(self, frame: WireMessage) -> None:
-        self.sent.append((self.address, frame))
+        self.sent_frames.append((self.address, frame))
 
 
 class Source:
-    """Publishes what the test has written down."""
+    """Returns the documents and errors given by the test, in order."""
 
     def __init__(self, *documents: Document | SourceError | None) -> None:
         self.documents = list(documents)
@@ -94,7 +94,7 @@
     )
 
 
-def feed(source: Source, *others: MemberEntry) -> PublishedFeed:
+def create_feed(source: Source, *others: MemberEntry) -> PublishedFeed:
     table = MemberTable(member("own", "hobart"))
     table.merge(others)
     links = Links()
@@ -107,10 +107,10 @@
     )
 
 
-def sent(item: PublishedFeed) -> list[tuple[str, WireMessage]]:
-    links = item.links
+def sent_frames(feed: PublishedFeed) -> list[tuple[str, WireMessage]]:
+    links = feed.links
     assert isinstance(links, Links)
-    return links.sent
+    return links.sent_frames
 
 
 @pytest.mark.parametrize(
@@ -126,10 +126,10 @@
 def test_the_configuration_never_goes_back(
     offered: list[bytes], version: int
 ) -> None:
-    """Documents come late, twice, or broken.
+    """Documents arrive late, twice, or corrupted.
 
-    Taken as they come, requests would go back to a service that the operator
-    has moved them away from.
+    If the store applied an older document, the node would send requests to
+    a service that the operator has moved them away from.
     """
     store = PublishedStore(decode)
     for data in offered:
@@ -137,261 +137,291 @@
     assert (store.version, store.ready) == (version, True)
 
 
-def test_without_a_sound_document_nothing_is_served() -> None:
+def test_without_a_valid_document_the_store_is_not_ready() -> None:
+    """The only document that arrives is corrupted."""
     store = PublishedStore(decode)
     assert not store.offer(b"cut of", "test")
     assert (store.ready, store.unreadable) == (False, 1)
 
 
-async def test_a_reader_hands_on_what_it_reads() -> None:
-    """The node that reads for its data centre finds a new configuration.
+async def test_a_reader_announces_what_it_reads() -> None:
+    """The reader of a data centre finds a new configuration.
 
-    Its neighbours get the document, others only the news that there is one.
+    Peers of the data centre get the document; remote members get only a digest
+    with the new version.
     """
     source = Source(Document(b"7", 4), None)
-    item = feed(source, member("far", "burnie"))
-    await item.start()
-    async with asyncio.timeout(GUARD_S):
+    feed = create_feed(source, member("far", "burnie"))
+    await feed.start()
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         await source.idle.wait()
-    await item.stop()
-    assert item.store.version == 7
+    await feed.stop()
+    assert feed.store.version == 7
     assert source.positions[:2] == [None, 4]
-    digests = [f for _, f in sent(item) if isinstance(f, VersionDigest)]
+    digests = [f for _, f in sent_frames(feed) if isinstance(f, VersionDigest)]
     assert any(frame.version == 7 for frame in digests)
 
 
 async def test_after_a_failed_read_the_newest_is_read_again() -> None:
     """The source fails in the middle of a long poll.
 
-    What was published meanwhile may have left its history, so going on where
-    the poll stood could miss it.
+    The source's history may no longer hold what was published meanwhile, so
+    a read from the old position could miss a version.
     """
     source = Source(Document(b"7", 4), SourceError("down"), Document(b"9", 6))
-    item = feed(source)
-    await item.start()
-    async with asyncio.timeout(GUARD_S):
+    feed = create_feed(source)
+    await feed.start()
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         await source.idle.wait()
-    await item.stop()
-    assert item.store.version == 9
+    await feed.stop()
+    assert feed.store.version == 9
     assert source.positions[:3] == [None, 4, None]
 
 
-async def test_news_of_a_newer_version_is_asked_for_once() -> None:
-    """Two peers tell of the same new version."""
-    item = feed(Source())
+async def test_a_version_announced_twice_is_pulled_once() -> None:
+    """Two digests announce the same new version."""
+    feed = create_feed(Source())
     digest = VersionDigest(version=3, address="far:1")
-    item.receive(digest)
-    item.receive(digest)
+    feed.receive(digest)
+    feed.receive(digest)
     await asyncio.sleep(0)
-    pulls = [f for _, f in sent(item) if isinstance(f, RecordsPull)]
+    pulls = [f for _, f in sent_frames(feed) if isinstance(f, RecordsPull)]
     assert len(pulls) == 1
 
 
 async def test_a_peer_that_lacks_the_document_gets_it() -> None:
-    item = feed(Source())
-    item.store.offer(b"7", "test")
-    item.receive(RecordsPull(from_offset=3, address="far:1"))
-    item.receive(RecordsPull(from_offset=7, address="near:1"))
+    feed = create_feed(Source())
+    feed.store.offer(b"7", "test")
+    feed.receive(RecordsPull(from_offset=3, address="far:1"))
+    feed.receive(RecordsPull(from_offset=7, address="near:1"))
     await asyncio.sleep(0)
-    assert [address for address, _ in sent(item)] == ["far:1"]
-    frame = sent(item)[0][1]
+    assert [address for address, _ in sent_frames(feed)] == ["far:1"]
+    frame = sent_frames(feed)[0][1]
     assert isinstance(frame, DocumentPush)
     assert unpack(frame.data) == b"7"
 
 
-async def test_a_document_that_cannot_be_unpacked_changes_nothing() -> None:
-    item = feed(Source())
-    item.store.offer(b"7", "test")
-    item.receive(DocumentPush(data=b"rubbish", version=9))
-    assert item.store.version == 7
+async def test_a_corrupt_push_changes_nothing() -> None:
+    """A peer pushes bytes that cannot be decompressed."""
+    feed = create_feed(Source())
+    feed.store.offer(b"7", "test")
+    feed.receive(DocumentPush(data=b"rubbish", version=9))
+    assert feed.store.version == 7
 
 
-async def test_a_version_known_by_gossip_alone_is_asked_for() -> None:
-    """Guards against a node left behind when each digest is lost."""
-    item = feed(Source(), member("far", "burnie", version=8))
-    clock = item.clock
+async def test_a_version_known_by_gossip_alone_is_pulled() -> None:
+    """Every digest of a new version is lost, and only gossip carries it.
+
+    Without a pull the node would stay behind until the next change.
+    """
+    feed = create_feed(Source(), member("far", "burnie", version=8))
+    clock = feed.clock
     assert isinstance(clock, ManualClock)
-    item._check_for_newer()
+    feed._check_for_newer()
     clock.advance(500)
-    item._check_for_newer()
+    feed._check_for_newer()
     await asyncio.sleep(0)
-    pulls = [f for _, f in sent(item) if isinstance(f, RecordsPull)]
+    pulls = [f for _, f in sent_frames(feed) if isinstance(f, RecordsPull)]
     assert len(pulls) == 1
 
 
-async def test_a_version_from_afar_is_asked_for_by_one_neighbour() -> None:
-    """Guards against a document fetched from afar by each neighbour."""
-    far = member("far", "burnie")
-    asked = []
+async def test_a_remote_version_is_pulled_by_one_peer() -> None:
+    """All nodes of a data centre hear of a version in another data centre.
+
+    If each node pulled the document, the network links between the data centres
+    would carry it once per node.
+    """
+    remote = member("far", "burnie")
+    pulls = []
     for number in range(4):
-        near = [member(f"n{n}", "hobart") for n in range(4) if n != number]
-        item = feed(Source(), far, *near)
-        item.members.own = member(f"n{number}", "hobart")
-        item.receive(VersionDigest(version=3, address=far.peer_address))
-        clock = item.clock
+        local = [member(f"n{n}", "hobart") for n in range(4) if n != number]
+        feed = create_feed(Source(), remote, *local)
+        feed.members.own = member(f"n{number}", "hobart")
+        feed.receive(VersionDigest(version=3, address=remote.peer_address))
+        clock = feed.clock
         assert isinstance(clock, ManualClock)
-        item._check_for_newer()
+        feed._check_for_newer()
         clock.advance(REMOTE_PULL_DELAY_MS)
-        item._check_for_newer()
+        feed._check_for_newer()
         await asyncio.sleep(0)
-        asked += [f for _, f in sent(item) if isinstance(f, RecordsPull)]
-    assert len(asked) == 1
+        pulls += [f for _, f in sent_frames(feed) if isinstance(f, RecordsPull)]
+    assert len(pulls) == 1
+
 
+async def test_a_local_peer_is_preferred_for_pulls() -> None:
+    """A remote member has a newer version than a peer in the data centre.
 
-async def test_a_neighbour_that_knows_more_is_asked_before_others() -> None:
-    far = member("far", "burnie", version=9)
-    near = member("near", "hobart", version=8)
-    item = feed(Source(), far, near)
-    clock = item.clock
+    Pulling from the peer keeps the document off the links between the data
+    centres.
+    """
+    remote = member("far", "burnie", version=9)
+    local = member("near", "hobart", version=8)
+    feed = create_feed(Source(), remote, local)
+    clock = feed.clock
     assert isinstance(clock, ManualClock)
-    item._check_for_newer()
+    feed._check_for_newer()
     clock.advance(PULL_DELAY_MS)
-    item._check_for_newer()
+    feed._check_for_newer()
     await asyncio.sleep(0)
-    assert [a for a, f in sent(item) if isinstance(f, RecordsPull)] == [
-        near.peer_address
+    assert [a for a, f in sent_frames(feed) if isinstance(f, RecordsPull)] == [
+        local.peer_address
     ]
 
 
-def test_a_reader_that_is_turned_away_is_passed_over() -> None:
-    """Guards against neighbours that wait for a refused reader."""
+def test_a_reader_that_cannot_read_is_skipped() -> None:
+    """The readers report that they cannot read the source.
+
+    If their peers kept waiting for them, no node would read.
+    """
     others = [member(f"n{number}", "hobart") for number in range(9)]
-    item = feed(Source(), *others)
-    clock = item.clock
+    feed = create_feed(Source(), *others)
+    clock = feed.clock
     assert isinstance(clock, ManualClock)
-    assert not item.is_reader()
+    assert not feed.is_reader()
     for entry in others:
-        item.receive(
+        feed.receive(
             VersionDigest(
                 address=entry.peer_address, heartbeat=True, log_age_ms=-1
             )
         )
-    assert item.is_reader()
+    assert feed.is_reader()
     clock.advance(10_000)
-    assert not item.is_reader()
+    assert not feed.is_reader()
 
 
-async def test_a_failed_read_is_told_at_once() -> None:
+async def test_a_failed_read_is_reported_at_once() -> None:
+    """The source rejects a reader's first read.
+
+    Without a report, other nodes would leave reading to this reader until its
+    heartbeats are overdue.
+    """
     source = Source(SourceError("refused"))
-    near, far = member("near", "hobart"), member("far", "burnie")
-    item = feed(source, near, far)
-    await item.start()
-    async with asyncio.timeout(GUARD_S):
+    local, remote = member("near", "hobart"), member("far", "burnie")
+    feed = create_feed(source, local, remote)
+    await feed.start()
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         await source.idle.wait()
-    await item.stop()
-    told = [
+    await feed.stop()
+    announcements = [
         address
-        for address, frame in sent(item)
+        for address, frame in sent_frames(feed)
         if isinstance(frame, VersionDigest) and frame.log_age_ms == -1
     ]
-    assert told == [near.peer_address, far.peer_address]
+    assert announcements == [local.peer_address, remote.peer_address]
 
 
 @pytest.mark.parametrize(
     ("neighbours", "pushed"),
     [pytest.param(3, 3, id="few"), pytest.param(166, 4, id="many")],
 )
-async def test_a_reader_is_not_run_over_by_its_neighbours(
-    neighbours: int, pushed: int
-) -> None:
-    """Guards against a line filled by one document for each node."""
-    near = [member(f"n{number}", "hobart") for number in range(neighbours)]
-    item = feed(Source(), *near)
-    item.store.offer(b"7", "test")
-    item.publisher.publish_version(read_age_ms=0, previous_version=0, relays=[])
+async def test_a_reader_limits_its_pushes(neighbours: int, pushed: int) -> None:
+    """A reader has more peers in its data centre than it may push to.
+
+    One document for each peer would fill the reader's network link.
+    """
+    local = [member(f"n{number}", "hobart") for number in range(neighbours)]
+    feed = create_feed(Source(), *local)
+    feed.store.offer(b"7", "test")
+    feed.publisher.publish_version(read_age_ms=0, previous_version=0, relays=[])
     await asyncio.sleep(0)
-    documents = [f for _, f in sent(item) if isinstance(f, DocumentPush)]
+    documents = [f for _, f in sent_frames(feed) if isinstance(f, DocumentPush)]
     assert len(documents) == pushed
 
 
 @pytest.mark.parametrize(
-    ("told_ms", "rests"),
+    ("reported_age_ms", "backs_off"),
     [
         pytest.param(100, True, id="a neighbour reads"),
         pytest.param(9_000, False, id="no neighbour has read for long"),
     ],
 )
-def test_a_node_that_cannot_read_leaves_it_to_a_neighbour(
-    told_ms: int, rests: bool
+def test_a_node_that_cannot_read_backs_off_if_a_peer_reads(
+    reported_age_ms: int, backs_off: bool
 ) -> None:
-    """Guards against refused nodes that all go on asking."""
-    near = member("near", "hobart")
-    item = feed(Source(), near)
-    item.store.offer(b"7", "test")
-    clock = item.clock
+    """The source rejects a node's reads while another node can read.
+
+    If each rejected node kept reading, the source would get needless calls.
+    """
+    local = member("near", "hobart")
+    feed = create_feed(Source(), local)
+    feed.store.offer(b"7", "test")
+    clock = feed.clock
     assert isinstance(clock, ManualClock)
     clock.advance(20_000)
-    item.backoff_until_ms = clock.now_ms() + 5000
-    assert not item._may_back_off()
-    item.receive(
+    feed.backoff_until_ms = clock.now_ms() + 5000
+    assert not feed._may_back_off()
+    feed.receive(
         VersionDigest(
-            address=near.peer_address, heartbeat=True, log_age_ms=told_ms
+            address=local.peer_address,
+            heartbeat=True,
+            log_age_ms=reported_age_ms,
         )
     )
-    assert item._may_back_off() is rests
+    assert feed._may_back_off() is backs_off
 
 
 LINES = [f"{number} leads to {number * 7919 % 997}" for number in range(5000)]
 
 
 def document(version: int) -> bytes:
-    """Returns a large document that a version changes in one place."""
+    """Returns a large document in which only the version's line changes."""
     lines = [*LINES, f"the newest leads to {version}"]
     return "\n".join([str(version), *lines]).encode()
 
 
 def first_line(data: bytes) -> PublishedConfig:
-    """Reads the version in the first line of a document."""
+    """Decodes a document by the version in its first line."""
     return decode(data.split(b"\n")[0])
 
 
 @pytest.mark.parametrize(
-    ("has", "ends_with", "most_bytes"),
+    ("known_versions", "expected_version", "max_bytes"),
     [
         pytest.param([1], 2, 1000, id="the version before"),
         pytest.param([1, 2], 2, 1000, id="this version already"),
         pytest.param([], 0, 1000, id="none, so it asks for the whole"),
     ],
 )
-async def test_a_change_travels_without_the_rest(
-    has: list[int], ends_with: int, most_bytes: int
+async def test_a_change_is_sent_as_a_delta(
+    known_versions: list[int], expected_version: int, max_bytes: int
 ) -> None:
-    """An operator changes one of some thousand routes.
+    """An operator changes one of several thousand routes.
 
-    With the whole document, a node on a slow line keeps its callers waiting
-    for most of a second at each change.
+    If each change sent the whole document, a node on a slow network link would
+    keep its callers waiting for most of a second at each change.
     """
-    reader = feed(Source())
+    reader = create_feed(Source())
     reader.store.decode = first_line
     reader.store.offer(document(1), "test")
     reader.store.offer(document(2), "test")
     push = reader.publisher.document_push(base_version=1)
-    assert len(push.data) < most_bytes
-    item = feed(Source())
-    item.store.decode = first_line
-    for version in has:
-        item.store.offer(document(version), "test")
-    item.receive(push)
-    assert item.store.version == ends_with
-    assert item.pulls_sent == (not has)
-
-
-async def test_a_node_that_lacks_the_base_gets_the_whole() -> None:
-    reader = feed(Source())
+    assert len(push.data) < max_bytes
+    feed = create_feed(Source())
+    feed.store.decode = first_line
+    for version in known_versions:
+        feed.store.offer(document(version), "test")
+    feed.receive(push)
+    assert feed.store.version == expected_version
+    assert feed.pulls_sent == (not known_versions)
+
+
+async def test_a_node_without_the_base_gets_the_whole_document() -> None:
+    """A peer pushes a delta to a version that the node never had."""
+    reader = create_feed(Source())
     reader.store.decode = first_line
     for version in range(1, 10):
         reader.store.offer(document(version), "test")
-    item = feed(Source())
-    item.store.decode = first_line
-    item.store.offer(document(1), "test")
-    item.receive(reader.publisher.document_push(base_version=8))
+    feed = create_feed(Source())
+    feed.store.decode = first_line
+    feed.store.offer(document(1), "test")
+    feed.receive(reader.publisher.document_push(base_version=8))
     await asyncio.sleep(0)
-    (pull,) = [f for _, f in sent(item) if isinstance(f, RecordsPull)]
+    (pull,) = [f for _, f in sent_frames(feed) if isinstance(f, RecordsPull)]
     reader.receive(pull)
     await asyncio.sleep(0)
-    (push,) = [f for _, f in sent(reader) if isinstance(f, DocumentPush)]
-    item.receive(push)
-    assert item.store.data == document(9)
+    (push,) = [f for _, f in sent_frames(reader) if isinstance(f, DocumentPush)]
+    feed.receive(push)
+    assert feed.store.data == document(9)
 
 
 @pytest.mark.parametrize(
@@ -405,49 +435,66 @@
         ),
     ],
 )
-def test_what_cannot_be_unpacked_is_told(packed: bytes, base: bytes) -> None:
+def test_corrupt_documents_raise_packing_errors(
+    packed: bytes, base: bytes
+) -> None:
+    """A push arrives corrupted, or the receiver has no or another base."""
     with pytest.raises(PackingError):
         unpack(packed, base)
 
 
 def test_the_node_on_the_fastest_line_reads() -> None:
-    """Guards against a reader on a slow line."""
+    """Nodes on slow network links share a data centre with a fast one.
+
+    A reader on a slow link would take long to fetch each document.
+    """
     slow = [
         attrs.evolve(member(f"n{number}", "hobart"), line_mbps=3)
         for number in range(9)
     ]
-    item = feed(Source(), *slow)
-    item.members.own = attrs.evolve(item.members.own, line_mbps=50)
-    assert item.is_reader()
+    feed = create_feed(Source(), *slow)
+    feed.members.own = attrs.evolve(feed.members.own, line_mbps=50)
+    assert feed.is_reader()
+
 
+async def test_a_reader_sends_heartbeats_during_a_long_response() -> None:
+    """The source's response takes longer than the heartbeat interval.
 
-async def test_a_reader_that_is_still_loading_is_not_taken_for_silent() -> None:
-    """Guards against a long answer taken for a dead reader."""
+    Without heartbeats during the response, peers would take the reader for
+    dead and read the source themselves.
+    """
     source = Source(Document(b"7", 4))
-    near = member("near", "hobart")
-    item = feed(source, near)
-    await item.start()
+    local = member("near", "hobart")
+    feed = create_feed(source, local)
+    await feed.start()
     assert source.on_progress is not None
     source.on_progress()
     await asyncio.sleep(0)
-    await item.stop()
-    told = [f for _, f in sent(item) if isinstance(f, VersionDigest)]
-    assert any(f.heartbeat and f.log_age_ms == 0 for f in told)
+    await feed.stop()
+    announcements = [
+        f for _, f in sent_frames(feed) if isinstance(f, VersionDigest)
+    ]
+    assert any(f.heartbeat and f.log_age_ms == 0 for f in announcements)
+
 
+def test_peers_of_a_dead_reader_start_reading_one_by_one() -> None:
+    """A reader stops responding, and its peers have to replace it.
 
-def test_neighbours_of_a_silent_reader_do_not_read_all_at_once() -> None:
+    If all peers read at once, each would fetch a large document over its
+    network link and delay its callers' requests.
+    """
     nodes = [member(f"n{number}", "hobart") for number in range(9)]
     reading_ms = []
     for own in nodes:
-        item = feed(Source(), *(node for node in nodes if node != own))
-        item.members.own = own
-        item.store.offer(b"7", "test")
-        item.position = 4
-        clock = item.clock
+        feed = create_feed(Source(), *(node for node in nodes if node != own))
+        feed.members.own = own
+        feed.store.offer(b"7", "test")
+        feed.position = 4
+        clock = feed.clock
         assert isinstance(clock, ManualClock)
-        item.last_read_ms = clock.now_ms()
+        feed.last_read_ms = clock.now_ms()
         waited_ms = 0
-        while not item._has_to_read():
+        while not feed._must_read():
             clock.advance(50)
             waited_ms += 50
         reading_ms.append(waited_ms)
