--- a/packages/pomelobank-node/src/pomelobank_node/_config_frames.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_config_frames.py
@@ -1,4 +1,4 @@
-"""Frames about the configuration: who handles them and what is in them."""
+"""Builds and dispatches the peer frames that carry the configuration."""
 
 from __future__ import annotations
 
@@ -24,21 +24,22 @@
 )
 from pomelobank_schema.generated.settings import NodeSettings
 
-# Most records of one push, and their bytes: a peer that is far behind gets
-# them in parts, between which its requests go on.
-PUSH_LIMIT = 50
-PUSH_BYTES = 256 * 1024
+# Limits of one push, in records and in bytes of records. A peer that is far
+# behind gets its records in several pushes, between which the stream carries
+# requests.
+MAX_PUSH_RECORDS = 50
+MAX_PUSH_BYTES = 256 * 1024
 
 
 class FeedState(Protocol):
-    """What frames are made of, and what takes them.
+    """The feed as the functions of this module use it.
 
     Attributes:
         settings: The node's settings.
-        store: The configuration.
-        members: The members that the node knows.
-        clock: Tells the time.
-        distribution: Decides what to tell whom.
+        store: The configuration store.
+        members: The members known to this node.
+        clock: Monotonic and wall clock.
+        distribution: Decides which frames go to which peers.
         writer: Writes snapshots.
         digests_sent: Digests sent, for the metrics.
         pulls_sent: Pulls sent, for the metrics.
@@ -58,21 +59,21 @@
     snapshots_sent: int
 
     def handle_records(self, push: RecordsPush) -> None:
-        """Takes records that a peer sent."""
+        """Applies records that a peer pushed."""
 
     def handle_snapshot(self, push: SnapshotPush) -> None:
-        """Takes a snapshot that a peer sent."""
+        """Restores a snapshot that a peer pushed."""
 
     def handle_digest(self, digest: VersionDigest) -> None:
-        """Takes a peer's version."""
+        """Handles a peer's version digest."""
 
     def handle_pull(self, pull: RecordsPull) -> None:
-        """Answers a peer that lacks records."""
+        """Sends records to a peer that has an older version."""
 
 
 @functools.singledispatch
 def handle_frame(frame: WireMessage, feed: FeedState) -> None:
-    """Hands a frame to the feed; others are ignored."""
+    """Dispatches a frame to the feed by type; ignores other types."""
 
 
 @handle_frame.register(RecordsPush)
@@ -97,8 +98,17 @@
 
 @functools.singledispatch
 def make_frame(action: object, feed: FeedState) -> WireMessage | None:
-    """Builds the frame of an action from the node's present state."""
-    raise TypeError(f"no frame for {type(action).__name__}")
+    """Builds the frame of an action from the node's current state.
+
+    Returns:
+        The frame, None if the state has made the action obsolete.
+
+    Raises:
+        TypeError: If no frame exists for this type of action.
+    """
+    raise TypeError(
+        f"no configuration frame for actions of type {type(action).__name__}"
+    )
 
 
 @make_frame.register(SendDigest)
@@ -123,7 +133,7 @@
     feed.pulls_sent += 1
     return RecordsPull(
         from_offset=feed.store.version,
-        limit=PUSH_LIMIT,
+        limit=MAX_PUSH_RECORDS,
         address=feed.members.own.peer_address,
     )
 
@@ -134,8 +144,8 @@
     if action.from_version >= store.version:
         return None
     address = feed.members.own.peer_address
-    found = store.recent.since(action.from_version, PUSH_LIMIT)
-    if not found:
+    pushed_records = store.recent.since(action.from_version, MAX_PUSH_RECORDS)
+    if not pushed_records:
         feed.snapshots_sent += 1
         data = store.encoded_snapshot(feed.settings.node, feed.clock.wall_ms())
         return SnapshotPush(
@@ -147,16 +157,16 @@
     feed.pushes_sent += 1
     return RecordsPush(
         first_offset=action.from_version,
-        records=_within_bytes(found),
+        records=_limit_bytes(pushed_records),
         address=address,
         version=store.version,
     )
 
 
-def _within_bytes(items: tuple[bytes, ...]) -> tuple[bytes, ...]:
-    size = 0
-    for index, data in enumerate(items):
-        size += len(data)
-        if index and size > PUSH_BYTES:
-            return items[:index]
-    return items
+def _limit_bytes(pushed_records: tuple[bytes, ...]) -> tuple[bytes, ...]:
+    size_bytes = 0
+    for index, data in enumerate(pushed_records):
+        size_bytes += len(data)
+        if index and size_bytes > MAX_PUSH_BYTES:
+            return pushed_records[:index]
+    return pushed_records
--- a/packages/pomelobank-node/src/pomelobank_node/_config_outbox.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_config_outbox.py
@@ -1,4 +1,4 @@
-"""What is still to be sent to one peer about the configuration."""
+"""Outbox of configuration frames for one peer."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,8 +10,8 @@
 from pomelobank_schema import SchemaError
 
 _MS_PER_S = 1000
-# A peer that was paused takes no bytes; its outbox gives up after this time,
-# and the next digest finds out what it has missed.
+# Limit of one send. A suspended peer reads no bytes, so the outbox drops the
+# action after this time. The next digest shows the peer that it is behind.
 SEND_TIMEOUT_S = 2.0
 
 DistributionAction = PushRecords | SendDigest | PullRecords
@@ -19,18 +19,18 @@
 
 @attrs.define(eq=False)
 class Outbox:
-    """Sends to one peer, in one task and with bounded memory.
+    """Sends to one peer, with one task and bounded memory.
 
-    While a peer is slow, changes go on. Queued frames would grow without
-    bound; so this keeps at most one action of each type and builds the frame
-    when it is sent, from what is true then.
+    Changes continue while a peer is slow. A queue of encoded frames would grow
+    without bound, so the outbox keeps at most one action of each type and
+    builds the frame at the time of sending, from the state at that time.
 
     Attributes:
         address: The peer's address.
-        send: Builds and sends an action's frame.
-        pending: What is still to be sent, by type.
-        task: The sending task, None while there is nothing to send.
-        failures: Frames that could not be sent.
+        send: Builds and sends the frame of an action.
+        pending: Actions not yet sent, by type.
+        task: The sending task; None before the first action.
+        failures: Actions that could not be sent.
     """
 
     address: str
@@ -41,14 +41,14 @@
 
     @property
     def busy(self) -> bool:
-        """Whether something is being sent or waits."""
+        """Whether an action is being sent or waits for it."""
         return self.task is not None and not self.task.done()
 
     def put(self, action: DistributionAction) -> None:
-        """Adds an action, merged with one of its type that still waits."""
-        known = self.pending.get(type(action))
-        if isinstance(known, PushRecords) and isinstance(action, PushRecords):
-            lowest = min(known.from_version, action.from_version)
+        """Queues an action, merged with a queued action of the same type."""
+        queued = self.pending.get(type(action))
+        if isinstance(queued, PushRecords) and isinstance(action, PushRecords):
+            lowest = min(queued.from_version, action.from_version)
             action = PushRecords(self.address, lowest)
         self.pending[type(action)] = action
         if not self.busy:
--- a/packages/pomelobank-node/src/pomelobank_node/_config_store.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_config_store.py
@@ -1,4 +1,4 @@
-"""Holds the configuration in force and tells waiters when it moves."""
+"""Holds the configuration in force and signals its changes."""
 
 import asyncio
 import logging
@@ -21,21 +21,22 @@
 
 _logger = logging.getLogger(__name__)
 
-# Records kept for peers that are a little behind; whoever is further behind
-# gets a snapshot. Two days of changes at the size that is planned for, and a
-# bound on memory where the changes are large.
+# Limits of the raw records kept for peers that are a little behind; peers that
+# are further behind get a snapshot. 1,000 records are two days of changes at
+# the planned size of the mesh. The limit in bytes bounds the memory where
+# changes are large.
 MAX_RECENT_RECORDS = 1000
 MAX_RECENT_BYTES = 4 * 1024 * 1024
 
 
 @attrs.define
 class RecentRecords:
-    """The newest raw records without a gap, oldest first.
+    """The newest raw records, without a gap, oldest first.
 
     Attributes:
-        first_offset: Offset of the oldest.
-        records: Their bytes.
-        size_bytes: Sum of their lengths, in bytes.
+        first_offset: Offset of the oldest record.
+        records: The records' bytes.
+        size_bytes: Sum of the records' lengths, in bytes.
     """
 
     first_offset: int = 0
@@ -43,23 +44,27 @@
     size_bytes: int = 0
 
     def add(self, offset: int, data: bytes) -> None:
-        """Keeps one record; after a gap, the older ones are dropped."""
+        """Adds a record; drops all older records if there is a gap."""
         if offset != self.first_offset + len(self.records):
             self.first_offset, self.records, self.size_bytes = offset, [], 0
         self.records.append(data)
         self.size_bytes += len(data)
-        while self._too_many():
+        while self._exceeds_limits():
             self.size_bytes -= len(self.records.pop(0))
             self.first_offset += 1
 
-    def _too_many(self) -> bool:
+    def _exceeds_limits(self) -> bool:
         count = len(self.records)
         return count > MAX_RECENT_RECORDS or (
             count > 1 and self.size_bytes > MAX_RECENT_BYTES
         )
 
     def since(self, offset: int, limit: int) -> tuple[bytes, ...]:
-        """Returns records from an offset on, none where it is not kept."""
+        """Returns up to `limit` records from an offset on.
+
+        The result is empty if the record at the offset is no longer kept or
+        does not exist yet.
+        """
         start = offset - self.first_offset
         if start < 0:
             return ()
@@ -68,27 +73,32 @@
 
 @attrs.define
 class ConfigStore:
-    """The node's one reference to the configuration.
+    """Holds the node's current configuration.
 
-    Readers take `state` and `routes` once per request; both are immutable and
-    replaced together between two awaits, so nobody sees half a change.
+    Request handling reads `state` and `routes` once per request. Both are
+    immutable and replaced together without an await in between, so no request
+    sees a partly applied change.
 
     Attributes:
-        state: What replay derived from the log so far.
+        state: The state replayed from the log so far.
         routes: The routes of that state, prepared for matching.
-        ready: Whether callers may be served; see MinServingVersion.
-        blocked: Set once a record of an unknown kind stopped the replay.
-        changed: Replaced and set at every move of the version.
+        ready: Whether the node may serve callers; see MinServingVersion.
+        blocked: Whether a record of an unknown kind has stopped the replay.
+        changed: Set, and replaced by a new event, whenever the version changes.
         recent: Raw records, kept for peers.
-        on_snapshot: Called with each snapshot record that replay passes.
-        newest_change_at_ms: When the newest change applied was asked for, in ms
-            since the epoch.
+        on_snapshot: Called with each snapshot record in the log that replay
+            reaches.
+        newest_change_at_ms: Time of the author's request for the newest applied
+            change, in ms since the epoch.
         applied: Number of records that were applied, for the metrics.
-        restored: Number of snapshots that were taken over, for the metrics.
-        unreadable: Number of records that were passed over, for the metrics.
-        mismatches: Number of snapshot records that differ from the own state,
-            for the metrics; anything but 0 is a fault of this program.
-        encoded: A version and its encoded snapshot, once a peer has asked.
+        restored: Number of snapshots that were restored, for the metrics.
+        unreadable: Number of records that were skipped because they could not
+            be decoded, for the metrics.
+        mismatches: Number of snapshot records that differ from this node's
+            state, for the metrics; any value but 0 shows a fault of this
+            program.
+        encoded: A version and its encoded snapshot; None until a peer needs
+            a snapshot.
     """
 
     state: ConfigState = attrs.field(factory=ConfigState)
@@ -113,7 +123,7 @@
         return self.state.snapshot.version
 
     def apply(self, offset: int, data: bytes) -> bool:
-        """Applies one raw record; older and later ones are left alone.
+        """Applies one raw record if it is the next one; ignores others.
 
         Args:
             offset: The record's offset.
@@ -127,27 +137,27 @@
         try:
             record = decode(data, records.KINDS)
         except SchemaError as error:
-            return self._apply_unreadable(offset, data, error)
+            return self._handle_unreadable(offset, data, error)
         if isinstance(record, SnapshotRecord):
-            self._pass_snapshot(record)
+            self._check_snapshot(record)
         change = record if isinstance(record, records.ChangeRecord) else None
         if change is not None:
             self.newest_change_at_ms = change.at_ms
-        self._move(advance(self.state, offset, change), data)
+        self._advance(advance(self.state, offset, change), data)
         return True
 
     def restore(self, record: SnapshotRecord) -> bool:
-        """Takes over a snapshot, unless the node has that version already.
+        """Restores a snapshot if it is newer than the node's version.
 
         Args:
             record: The snapshot.
 
         Returns:
-            Whether it was taken.
+            Whether the snapshot was restored.
         """
         if self.blocked:
-            # The snapshot lies behind a record that this program does not
-            # understand; its effect may be more than the snapshot tells it.
+            # The snapshot follows a record that this program cannot decode.
+            # That record may have effects that the snapshot does not show.
             return False
         result = adopt_snapshot(self.state, record)
         if isinstance(result, Failure):
@@ -161,27 +171,28 @@
         if state is self.state:
             return False
         self.restored += 1
-        self._swap(state)
+        self._replace_state(state)
         return True
 
     def encoded_snapshot(self, node: str, at_ms: int) -> bytes:
-        """Returns a snapshot record of the state, encoded.
+        """Returns an encoded snapshot record of the state.
 
-        After a herd restart many peers ask for it within seconds; making it
-        takes long enough to hold up requests, so it is made once a version.
+        After many nodes restart together, many peers need the snapshot within
+        seconds. Encoding takes long enough to delay requests, so the store
+        encodes the snapshot once per version.
         """
         if self.encoded is None or self.encoded[0] != self.version:
             data = encode(snapshot_record(self.state, node, at_ms))
             self.encoded = (self.version, data)
         return self.encoded[1]
 
-    def _pass_snapshot(self, record: SnapshotRecord) -> None:
-        # Replay is deterministic, so a snapshot of this version must be equal
-        # to the own state; if not, one of two nodes has gone wrong.
+    def _check_snapshot(self, record: SnapshotRecord) -> None:
+        # Replay is deterministic, so a snapshot of this version must equal this
+        # node's state. A difference shows a fault in this node or the writer.
         if record.as_of == self.version:
-            own = snapshot_record(self.state)
-            same = set(own.objects) == set(record.objects)
-            if not same or own.audit != record.audit:
+            expected = snapshot_record(self.state)
+            is_equal = set(expected.objects) == set(record.objects)
+            if not is_equal or expected.audit != record.audit:
                 self.mismatches += 1
                 _logger.error(
                     "config.snapshot_differs", extra={"writer": record.node}
@@ -189,38 +200,39 @@
         if self.on_snapshot is not None:
             self.on_snapshot(record)
 
-    def _apply_unreadable(
+    def _handle_unreadable(
         self, offset: int, data: bytes, error: SchemaError
     ) -> bool:
         if error.kind is SchemaErrorKind.UNKNOWN_KIND:
-            # A newer node wrote something whose meaning this one cannot know;
-            # passing over it would make the two disagree from here on.
+            # A newer program wrote this record, and this node cannot know its
+            # effect. If this node skipped the record, its configuration would
+            # differ from the newer nodes' from here on.
             self.blocked = True
             _logger.error("config.blocked", extra={"offset": offset})
             return False
-        # Every node reads the same bytes with the same codec, so all pass over
-        # this record alike.
+        # Every node decodes the same bytes with the same codec, so all nodes
+        # skip this record and stay consistent.
         self.unreadable += 1
         _logger.warning(
             "config.unreadable", extra={"offset": offset, "error": str(error)}
         )
-        self._move(advance(self.state, offset, None), data)
+        self._advance(advance(self.state, offset, None), data)
         return True
 
-    def _move(self, state: ConfigState, data: bytes) -> None:
+    def _advance(self, state: ConfigState, data: bytes) -> None:
         self.recent.add(self.version, data)
         self.applied += 1
-        self._swap(state)
+        self._replace_state(state)
 
-    def _swap(self, state: ConfigState) -> None:
+    def _replace_state(self, state: ConfigState) -> None:
         if state.snapshot.objects is not self.state.snapshot.objects:
             self.routes = RouteTable.of(state.snapshot)
         self.state = state
-        moved, self.changed = self.changed, asyncio.Event()
-        moved.set()
+        signal, self.changed = self.changed, asyncio.Event()
+        signal.set()
 
     async def wait_for_change(self, change_id: str) -> ChangeDecision:
-        """Waits until a change was read back and returns its verdict."""
+        """Waits until replay reaches a change and returns its decision."""
         while (verdict := self.state.decisions.get(change_id)) is None:
             await self.changed.wait()
         return verdict
--- a/packages/pomelobank-node/src/pomelobank_node/_snapshot_writer.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_snapshot_writer.py
@@ -21,15 +21,15 @@
 
 @attrs.define(eq=False)
 class SnapshotWriter:
-    """Writes a snapshot when it is due and this node's turn.
+    """Appends a snapshot when one is due and this node is the writer.
 
     Attributes:
-        schedule: Decides when that is.
-        store: What is written.
-        log: Where it is written to.
-        members: Who else might write.
-        clock: Tells the time.
-        written: Snapshots that the log took, for the metrics.
+        schedule: Decides when a snapshot is due and which node writes it.
+        store: The configuration store whose state is written.
+        log: Client of the log that takes the snapshots.
+        members: The members, which are the candidates for writing.
+        clock: Monotonic and wall clock.
+        written: Snapshots that the log accepted, for the metrics.
     """
 
     schedule: SnapshotSchedule
@@ -40,41 +40,46 @@
     written: int = 0
 
     def on_snapshot(self, record: SnapshotRecord) -> None:
-        """Notes a snapshot that replay came past."""
+        """Notes a snapshot record that replay reached."""
         self.schedule.on_snapshot(
             record, self.clock.now_ms(), self.clock.wall_ms()
         )
 
     def age_ms(self) -> int:
-        """Returns the age of the newest snapshot, or of the oldest record."""
+        """Returns the age of the newest snapshot, else of the oldest change.
+
+        Returns:
+            The age in ms; 0 while neither is known.
+        """
         if self.schedule.written_ms is None:
-            self._hear_oldest()
+            self._set_age_from_oldest_change()
         if self.schedule.written_ms is None:
             return 0
         return self.clock.now_ms() - self.schedule.written_ms
 
-    def _hear_oldest(self) -> None:
+    def _set_age_from_oldest_change(self) -> None:
         oldest = next(iter(self.store.state.decisions.values()), None)
         if oldest is not None:
             age_ms = self.clock.wall_ms() - oldest.at_ms
             self.schedule.on_snapshot_age(0, age_ms, self.clock.now_ms())
 
     async def write_if_due(self) -> None:
-        """Writes a snapshot where one is due and it is this node's turn."""
+        """Appends a snapshot if one is due and this node is the writer."""
         if self.schedule.written_ms is None:
-            self._hear_oldest()
-        live = [
+            self._set_age_from_oldest_change()
+        live_nodes = [
             item.node
             for item in self.members.all()
             if item.state != MemberState.GONE.value
         ]
         version, now_ms = self.store.version, self.clock.now_ms()
         if not self.store.ready or not self.schedule.should_write(
-            version, live, now_ms
+            version, live_nodes, now_ms
         ):
             return
-        # Until it was read back the schedule stays due: an append whose
-        # answer was lost may not have happened. A second one is harmless.
+        # The schedule stays due until this node reads the snapshot back from
+        # the log, since an append without an answer may not have taken effect.
+        # A second snapshot of the same version is harmless.
         self.schedule.on_write_failed(now_ms)
         record = snapshot_record(
             self.store.state, self.schedule.node, self.clock.wall_ms()
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_config_feed.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_config_feed.py
@@ -1,4 +1,4 @@
-"""The feed's life cycle."""
+"""Start and stop of the configuration feed."""
 
 import asyncio
 import contextlib
@@ -12,11 +12,12 @@
 from pomelobank_schema.generated.settings import LogSettings, NodeSettings
 
 
-async def test_a_cancellation_that_is_lost_does_not_keep_the_node() -> None:
-    """The log's time-out fires in the instant in which the node stops.
+async def test_a_swallowed_cancellation_does_not_block_the_stop() -> None:
+    """A time-out of a call to the log fires while the node stops.
 
-    The reading task takes the one for the other and goes on; the node would
-    never end, and whoever stops it would have to kill it.
+    The time-out swallows the cancellation of the reading task, and the task
+    goes on. If the stop waited for that task without cancelling it again, the
+    node would never stop and its operator would have to kill it.
     """
     log = LogSettings(address="127.0.0.1:1")
     settings = NodeSettings(node="n", data_centre="hobart", log=log)
@@ -28,16 +29,16 @@
         PeerLinks(Hello(node="n")),
         ManualClock(),
     )
-    begun = asyncio.Event()
+    started = asyncio.Event()
 
-    async def lose_one_cancellation() -> None:
-        begun.set()
+    async def swallow_one_cancellation() -> None:
+        started.set()
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.Event().wait()
         await asyncio.Event().wait()
 
-    feed.tasks.append(asyncio.create_task(lose_one_cancellation()))
-    await begun.wait()
+    feed.tasks.append(asyncio.create_task(swallow_one_cancellation()))
+    await started.wait()
     async with asyncio.timeout(20):
         await feed.stop()
     assert feed.tasks[0].done()
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_config_outbox.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_config_outbox.py
@@ -1,4 +1,4 @@
-"""One peer's outbox: bounded, merged, built when it is sent."""
+"""The outbox of one peer: bounded memory and merged actions."""
 
 import asyncio
 
@@ -10,17 +10,17 @@
 from pomelobank_schema import SchemaError, SchemaErrorKind
 
 
-async def test_a_slow_peer_costs_one_action_of_each_type() -> None:
-    """A peer takes no bytes for a while, and changes go on.
+async def test_a_slow_peer_queues_one_action_of_each_type() -> None:
+    """A peer reads no bytes for a while, and changes continue.
 
-    Without merging, each change would queue its frames and the node would run
-    out of memory together with its slowest peer.
+    Without merging, each change would queue another frame for the peer, and the
+    node would run out of memory.
     """
     sent: list[DistributionAction] = []
-    gate = asyncio.Event()
+    peer_reads = asyncio.Event()
 
     async def send(_: str, action: DistributionAction) -> None:
-        await gate.wait()
+        await peer_reads.wait()
         sent.append(action)
 
     outbox = Outbox("p:1", send)
@@ -31,7 +31,7 @@
         outbox.put(SendDigest("p:1", heartbeat=False))
         outbox.put(PullRecords("p:1", version, 0))
     assert len(outbox.pending) == 3
-    gate.set()
+    peer_reads.set()
     assert outbox.task is not None
     await outbox.task
     assert sent[1] == PushRecords("p:1", 4)
@@ -50,7 +50,14 @@
         pytest.param(ConnectionResetError(), id="reset"),
     ],
 )
-async def test_an_unreachable_peer_ends_nothing(error: Exception) -> None:
+async def test_send_errors_are_counted_and_do_not_end_the_task(
+    error: Exception,
+) -> None:
+    """Each send to the peer fails.
+
+    If the error ended the sending task, later actions would never be sent.
+    """
+
     async def send(_: str, __: DistributionAction) -> None:
         raise error
 
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_config_store.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_config_store.py
@@ -1,4 +1,4 @@
-"""The store takes records and snapshots, or leaves them alone."""
+"""The configuration store applies records and restores snapshots."""
 
 import attrs
 import msgpack
@@ -43,7 +43,8 @@
         pytest.param(2, False, id="after-a-gap"),
     ],
 )
-def test_only_the_next_record_counts(offset: int, applied: bool) -> None:
+def test_only_the_next_record_is_applied(offset: int, applied: bool) -> None:
+    """A record arrives again, in order, or after missing records."""
     store = store_with(encode(change("a")))
     assert store.apply(offset, encode(change("b"))) is applied
     assert store.version == 1 + applied
@@ -59,10 +60,10 @@
         pytest.param(msgpack.packb([3, -1]), id="half-a-snapshot"),
     ],
 )
-def test_unreadable_records_are_passed_over(data: bytes) -> None:
-    """A broken client writes garbage into the configuration's stream.
+def test_unreadable_records_are_skipped(data: bytes) -> None:
+    """A broken client writes invalid bytes into the configuration stream.
 
-    A node that stopped there would never see a change again.
+    A node that stopped at such a record would never apply a change again.
     """
     store = store_with(data, encode(change("a")))
     assert store.version == 2
@@ -70,10 +71,11 @@
 
 
 def test_a_record_of_a_newer_program_stops_the_replay() -> None:
-    """During an upgrade a newer node writes what this one cannot know.
+    """During an upgrade a newer node writes a record of an unknown kind.
 
-    Passing over it, or over it by way of a snapshot, would route differently
-    from the others without a sign.
+    If this node skipped the record, or restored a snapshot from after it, the
+    node would route differently from newer nodes, and nothing would report
+    that.
     """
     store = store_with(encode(change("a")), UNKNOWN_KIND)
     assert (store.version, store.blocked) == (1, True)
@@ -83,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    ("record", "taken"),
+    ("record", "restored"),
     [
         pytest.param(SnapshotRecord(as_of=9), True, id="newer"),
         pytest.param(SnapshotRecord(as_of=1), False, id="level"),
@@ -91,23 +93,31 @@
         pytest.param(SnapshotRecord(as_of=9, format=2), False, id="format"),
     ],
 )
-def test_snapshots(record: SnapshotRecord, taken: bool) -> None:
+def test_only_newer_snapshots_are_restored(
+    record: SnapshotRecord, restored: bool
+) -> None:
+    """A snapshot may be outdated, or written by a newer program."""
     store = store_with(encode(change("a")))
-    assert store.restore(record) is taken
-    assert store.version == (9 if taken else 1)
+    assert store.restore(record) is restored
+    assert store.version == (9 if restored else 1)
 
 
-def test_a_snapshot_that_differs_from_the_own_state_is_counted() -> None:
+def test_a_snapshot_that_differs_from_the_state_is_counted() -> None:
+    """A snapshot in the log disagrees with the state that replay reached."""
     store = store_with(encode(change("a")))
-    right = snapshot_record(store.state)
-    store.apply(1, encode(right))
+    matching = snapshot_record(store.state)
+    store.apply(1, encode(matching))
     assert store.mismatches == 0
-    wrong = attrs.evolve(right, as_of=2, objects=())
-    store.apply(2, encode(wrong))
+    differing = attrs.evolve(matching, as_of=2, objects=())
+    store.apply(2, encode(differing))
     assert (store.version, store.mismatches) == (3, 1)
 
 
-def test_a_snapshot_is_made_once_a_version() -> None:
+def test_a_snapshot_is_encoded_once_per_version() -> None:
+    """Many restarted peers need a snapshot at the same time.
+
+    Encoding the snapshot for each peer would delay requests.
+    """
     store = store_with(encode(change("a")))
     first = store.encoded_snapshot("n", 1)
     assert store.encoded_snapshot("n", 2) is first
@@ -116,6 +126,7 @@
 
 
 def test_recent_records_are_bounded() -> None:
+    """Many or large records would otherwise fill the node's memory."""
     recent = RecentRecords()
     for offset in range(MAX_RECENT_RECORDS + 10):
         recent.add(offset, b"x")
@@ -128,7 +139,8 @@
     assert (recent.first_offset, recent.records) == (5000, [b"z"])
 
 
-def test_digest_tells_another_change_with_the_same_id() -> None:
+def test_the_digest_distinguishes_changes_with_the_same_id() -> None:
+    """A repeated change has the same digest; another change does not."""
     first = change("a")
     again = attrs.evolve(first, at_ms=5, author="somebody else")
     other = attrs.evolve(first, operations=change("b").operations)
