--- a/packages/pomelobank-node/src/pomelobank_node/_contact_finder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_contact_finder.py
@@ -1,4 +1,4 @@
-"""Finds a first member through seed addresses and the log."""
+"""Finds the first members to contact, through seed addresses and the log."""
 
 import asyncio
 import logging
@@ -28,31 +28,34 @@
 
 _logger = logging.getLogger(__name__)
 _MS_PER_S = 1000
-# Twice the way there and back between data centres; more means a slow log.
-_USUAL_READ_MS = 20
-# Time that a member gets to answer a first contact.
-_ANSWER_S = 1.0
+# Read time of the log that is taken as normal: twice the round trip between
+# data centres. A longer read shows a slow log.
+_EXPECTED_READ_MS = 20
+# Time within which a contacted member has to answer.
+_JOIN_TIMEOUT_S = 1.0
 _FIRST_RETRY_MS = 100
 _MAX_RETRY_MS = 5000
-# Pause of the nodes that do not look after the contacts, before they see
-# whether it has become their turn.
-_REFRESH_CHECK_S = 1.5
-# One node of the fleet looks, and hears of new records while it waits.
-_LOOK_MS = 5000
+# Mean period after which a node that does not maintain the contacts checks
+# whether that role has passed to it.
+_ROLE_CHECK_PERIOD_S = 1.5
+# Period in which the one node of the fleet that has this role maintains the
+# contacts. The node long-polls the log meanwhile, so it gets new records at
+# once.
+_MAINTENANCE_PERIOD_MS = 5000
 
 
 @attrs.define(eq=False)
 class ContactFinder:
-    """Joins the mesh, then keeps the contacts in the log fresh.
+    """Joins the mesh, then keeps the contacts in the log up to date.
 
     Attributes:
-        contacts: Decides whom to try and when to announce.
-        swim: The node's membership.
-        log: Where contacts are announced.
+        contacts: Decides which addresses to contact and when to announce.
+        swim: The node's membership state.
+        log: Client of the log that holds the contacts.
         links: Streams to peers.
-        clock: Tells the time.
+        clock: Monotonic and wall clock.
         joined: Set while another member is known to be present.
-        announced: Whether this start of the node announced itself.
+        announced: Whether this process has announced its node in the log.
         next_offset: Offset after the last record that was read.
         announcements: Records appended, for the metrics.
     """
@@ -68,23 +71,26 @@
     announcements: int = 0
 
     async def run(self) -> None:
-        """Joins, then looks after the contacts until it is cancelled."""
+        """Joins the mesh, then maintains the contacts until cancelled."""
         retry_ms = _FIRST_RETRY_MS
         while not await self._join():
-            # Full jitter: nodes that started together would otherwise come
-            # back to the log and the seeds in the same instant.
+            # Full jitter: otherwise nodes that started together would call the
+            # log and the seeds again at the same time.
             await _sleep_ms(random.uniform(0, retry_ms))
             retry_ms = min(2 * retry_ms, _MAX_RETRY_MS)
         while True:
             if not maintains_contacts(self.swim.table):
-                pause_s = _REFRESH_CHECK_S * random.uniform(0.5, 1.5)
+                pause_s = _ROLE_CHECK_PERIOD_S * random.uniform(0.5, 1.5)
                 await asyncio.sleep(pause_s)
                 continue
-            begun_ms = self.clock.now_ms()
-            await self._look_after_contacts()
-            left_ms = begun_ms + _LOOK_MS - self.clock.now_ms()
-            # A log that fails, or knows no such stream, does not wait.
-            await _sleep_ms(max(0, left_ms))
+            started_ms = self.clock.now_ms()
+            await self._maintain_contacts()
+            remaining_ms = (
+                started_ms + _MAINTENANCE_PERIOD_MS - self.clock.now_ms()
+            )
+            # A read returns at once if the log fails or does not know the
+            # stream, so this sleep fills the rest of the period.
+            await _sleep_ms(max(0, remaining_ms))
 
     async def _join(self) -> bool:
         try:
@@ -96,12 +102,12 @@
     async def _join_by_contacts(self) -> bool:
         own = self.swim.table.own.peer_address
         addresses = self.contacts.next_addresses(own)
-        tries = [self._try(address) for address in addresses]
-        if any(await asyncio.gather(*tries)):
-            await self._wait_joined(_ANSWER_S)
+        attempts = [self._send_sync_request(address) for address in addresses]
+        if any(await asyncio.gather(*attempts)):
+            await self._wait_joined(_JOIN_TIMEOUT_S)
         return self.joined.is_set()
 
-    async def _try(self, address: str) -> bool:
+    async def _send_sync_request(self, address: str) -> bool:
         try:
             await self.links.to(address).send(
                 self.swim.sync_request(address).frame
@@ -118,42 +124,44 @@
             return
 
     async def _join_by_log(self) -> bool:
-        late_ms = await self._await_contacts(_USUAL_READ_MS)
+        excess_ms = await self._await_contacts(_EXPECTED_READ_MS)
         if await self._join_by_new_contacts():
             return True
         if self.announced:
             return False
-        if late_ms > _USUAL_READ_MS:
-            # What others append shows late as well.
-            await self._await_contacts(late_ms)
+        if excess_ms > _EXPECTED_READ_MS:
+            # On a slow log, the records of other nodes become visible late
+            # as well, so the node waits once more before it announces.
+            await self._await_contacts(excess_ms)
             if await self._join_by_new_contacts():
                 return True
         await self._announce()
-        # Two nodes may both have read before the other's append; the later
-        # one finds the earlier one's record now.
+        # Two nodes may both have read the log before the other's append. The
+        # node whose record came later finds the earlier record in this read.
         await self._read_contacts(0)
         return await self._join_by_new_contacts()
 
     async def _await_contacts(self, read_ms: int) -> int:
-        """Reads contacts, and waits for the first one where there is none.
+        """Reads contacts; waits for the first record if there is none.
 
-        One record is enough for all that start together: each waits for a
-        random time, in the read itself, before it announces itself.
+        One record is enough for all nodes that start together: each node waits
+        for a random time, within the long poll itself, before it announces.
 
         Args:
-            read_ms: Time that a read of the log takes.
+            read_ms: Time in ms that a read of the log takes.
 
         Returns:
-            How much longer the read took than it was meant to wait.
+            Time in ms by which the read took longer than its wait.
         """
         wait_ms = self.contacts.announce_wait_ms(read_ms)
-        begun_ms = self.clock.now_ms()
+        started_ms = self.clock.now_ms()
         await self._read_contacts(wait_ms)
-        left_ms = begun_ms + wait_ms - self.clock.now_ms()
-        if self.next_offset or left_ms <= 0:
-            return max(0, -left_ms)
-        # A stream without any record yet may be answered at once.
-        await self._wait_joined(left_ms / _MS_PER_S)
+        remaining_ms = started_ms + wait_ms - self.clock.now_ms()
+        if self.next_offset or remaining_ms <= 0:
+            return max(0, -remaining_ms)
+        # The log may answer a read of an empty stream without waiting, so the
+        # node waits for the remaining time here.
+        await self._wait_joined(remaining_ms / _MS_PER_S)
         if not self.joined.is_set():
             await self._read_contacts(0)
         return 0
@@ -165,14 +173,14 @@
         return self.joined.is_set()
 
     async def _read_contacts(self, wait_ms: int) -> None:
-        page = await self._read_on(wait_ms)
+        page = await self._read_next_page(wait_ms)
         if page.end_offset > page.next_offset + TAIL_RECORDS:
-            # Old records name members that were most likely replaced.
+            # Members named in older records have most likely been replaced.
             self.next_offset = page.end_offset - TAIL_RECORDS
-            page = await self._read_on(0)
+            page = await self._read_next_page(0)
         self.contacts.add_records(page.records)
 
-    async def _read_on(self, wait_ms: int) -> LogPage:
+    async def _read_next_page(self, wait_ms: int) -> LogPage:
         page = await read_retained(
             self.log, MEMBERS_STREAM, self.next_offset, TAIL_RECORDS, wait_ms
         )
@@ -192,23 +200,28 @@
         await self.log.append(MEMBERS_STREAM, encode(record))
         self.announced = True
 
-    async def _look_after_contacts(self) -> None:
+    async def _maintain_contacts(self) -> None:
         try:
-            # First of all: a node that restarts meanwhile finds nobody through
-            # a record that names only itself.
+            # The refresh comes before the long poll: a node that restarts
+            # during the poll cannot join through a record that names only the
+            # restarting node.
             await self._refresh()
-            await self._read_contacts(_LOOK_MS)
-            known = self._present_addresses()
-            strangers = self.contacts.next_unknown_addresses(known)
-            await asyncio.gather(*(self._try(item) for item in strangers))
+            await self._read_contacts(_MAINTENANCE_PERIOD_MS)
+            present_addresses = self._present_addresses()
+            unknown_addresses = self.contacts.next_unknown_addresses(
+                present_addresses
+            )
+            await asyncio.gather(
+                *(self._send_sync_request(item) for item in unknown_addresses)
+            )
         except LogError as error:
             _logger.warning("members.log_failed", extra={"error": str(error)})
 
     async def _refresh(self) -> None:
         wall_ms = self.clock.wall_ms()
         if self.contacts.needs_refresh(self._present_addresses(), wall_ms):
-            source = self.swim.random
-            record = contacts_record(self.swim.table, source, wall_ms)
+            rng = self.swim.random
+            record = contacts_record(self.swim.table, rng, wall_ms)
             self.announcements += 1
             await self.log.append(MEMBERS_STREAM, encode(record))
 
--- a/packages/pomelobank-node/src/pomelobank_node/_departure_log.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_departure_log.py
@@ -1,4 +1,4 @@
-"""Keeps in the log which targets have said that they leave."""
+"""Stores in the log which targets have announced their departure."""
 
 import asyncio
 import logging
@@ -23,11 +23,13 @@
 
 _logger = logging.getLogger(__name__)
 _MS_PER_S = 1000
-# A target takes its word for unheard after a second, and asks again.
-_KEEP_S = 0.8
-# A log that answers does so in a few ms, on a slow line in some tenths of a
-# second; a target is not kept out of the mesh for longer by one that does not.
-READ_WAIT_S = 1.0
+# Limit of one append. A target gives up a call to announce its departure after
+# 1 s and repeats the call.
+_APPEND_TIMEOUT_S = 0.8
+# Limit of the wait for the log at the start. The log normally answers within a
+# few ms, on a slow network link within some tenths of a second. A log that does
+# not answer keeps the target out of the mesh for no longer than this.
+MAX_READ_WAIT_S = 1.0
 _PAGE_RECORDS = 1000
 _FIRST_RETRY_MS = 100
 _MAX_RETRY_MS = 2000
@@ -35,15 +37,16 @@
 
 @attrs.define(eq=False)
 class DepartureLog:
-    """Keeps departures where a killed process cannot lose them.
+    """Stores departures in the log, where they survive a killed process.
 
     Attributes:
-        log: Where they are kept.
-        first_start: Whether there was no earlier process, so that nothing is
-            to be read.
-        departures: Those that are known.
-        loaded: Set once those in the log are known.
-        ready: Set when nobody waits for the log any more.
+        log: Client of the log that holds the departures.
+        first_start: Whether the node starts for the first time, so that the log
+            holds no departures from an earlier process.
+        departures: The departures known to this process.
+        loaded: Set once the departures in the log are known.
+        ready: Set once the node no longer waits for the log: after reading it
+            or after `MAX_READ_WAIT_S`.
     """
 
     log: Log
@@ -54,49 +57,51 @@
     tasks: list[asyncio.Task[None]] = attrs.field(factory=list)
 
     async def start(self) -> None:
-        """Begins to read what an earlier process has acknowledged."""
+        """Starts to read the departures that earlier processes stored."""
         if self.first_start:
             self.loaded.set()
             self.ready.set()
             return
         self.tasks = [
             asyncio.create_task(self._read_until_done()),
-            asyncio.create_task(self._open_in_time()),
+            asyncio.create_task(self._set_ready_after_timeout()),
         ]
 
     async def stop(self) -> None:
-        """Ends that."""
+        """Stops reading."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def add(self, departure: DepartureRecord) -> None:
-        """Takes note of a departure in this process."""
+        """Adds a departure in this process only."""
         self.departures.add(departure)
 
     def has_departed(self, target: TargetAnnouncement) -> bool:
-        """Tells whether a target has said that it leaves."""
+        """Tells whether a target has announced its departure."""
         return self.departures.has_departed(target)
 
     async def persist(self, departure: DepartureRecord) -> None:
-        """Returns once a departure is in the log.
+        """Appends a departure to the log.
 
         Raises:
-            LogError: If that is not known in time.
+            LogError: If the append failed or was not confirmed in time.
         """
         try:
-            async with asyncio.timeout(_KEEP_S):
+            async with asyncio.timeout(_APPEND_TIMEOUT_S):
                 await self.log.append(DEPARTURES_STREAM, encode(departure))
         except TimeoutError:
             raise LogError(
-                LogErrorKind.UNKNOWN, "append: no answer in time"
+                LogErrorKind.UNKNOWN,
+                f"append to the log not confirmed within {_APPEND_TIMEOUT_S} s",
             ) from None
 
-    async def _open_in_time(self) -> None:
-        # While the log is away nobody knows whether the target has left. Most
-        # have not; a mesh that starts then would serve nobody until the log is
-        # back. What is found later still takes the target out.
-        await asyncio.sleep(READ_WAIT_S)
+    async def _set_ready_after_timeout(self) -> None:
+        # While the log is unreachable no node knows whether the target has
+        # left. Most targets have not, and a mesh that starts during an outage
+        # of the log would otherwise serve no callers until the log is back.
+        # A departure that is read later still takes the target out.
+        await asyncio.sleep(MAX_READ_WAIT_S)
         if not self.ready.is_set():
             _logger.warning("departures.not_read")
             self.ready.set()
@@ -117,7 +122,7 @@
                     self.log, DEPARTURES_STREAM, offset, _PAGE_RECORDS
                 )
                 for data in page.records:
-                    self._take(data)
+                    self._add_record(data)
                 offset = page.next_offset
                 if not page.records or offset >= page.end_offset:
                     return True
@@ -127,11 +132,12 @@
             )
             return False
 
-    def _take(self, data: bytes) -> None:
+    def _add_record(self, data: bytes) -> None:
         try:
             record = decode(data, KINDS)
         except SchemaError as error:
-            # Another writer's bytes tell nothing of a target of this mesh.
+            # A record that this program cannot decode says nothing about
+            # a target of this mesh, so the node skips the record.
             _logger.warning(
                 "departures.unreadable", extra={"error": str(error)}
             )
--- a/packages/pomelobank-node/src/pomelobank_node/_log.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log.py
@@ -1,4 +1,4 @@
-"""The append-only log as the node's parts see it."""
+"""Interface of the append-only log service."""
 
 import enum
 from typing import Protocol
@@ -14,9 +14,9 @@
     """How a call to the log failed.
 
     Attributes:
-        REJECTED: The log said that it did nothing.
-        UNKNOWN: No answer came; an append may have taken effect.
-        TRIMMED: The records asked for are no longer kept.
+        REJECTED: The call certainly had no effect.
+        UNKNOWN: No valid answer came; an append may have taken effect.
+        TRIMMED: The log no longer keeps the requested records.
     """
 
     REJECTED = "refused"
@@ -29,9 +29,10 @@
     """A failed call to the log.
 
     Attributes:
-        kind: How it failed.
-        message: What happened.
-        first_offset: First offset that is still kept, where `kind` is TRIMMED.
+        kind: How the call failed.
+        message: Details of the failure.
+        first_offset: First offset that the log still keeps, where `kind` is
+            TRIMMED.
     """
 
     kind: LogErrorKind
@@ -41,12 +42,12 @@
 
 @attrs.frozen
 class LogPage:
-    """Records that follow each other in a stream.
+    """Consecutive records of a stream.
 
     Attributes:
         first_offset: Offset of the first record.
         records: The records' bytes.
-        end_offset: Offset that the next append will get.
+        end_offset: Offset that the log will give to the next append.
     """
 
     first_offset: int
@@ -55,7 +56,7 @@
 
     @property
     def next_offset(self) -> int:
-        """Offset that follows the last record of the page."""
+        """Offset after the last record of the page."""
         return self.first_offset + len(self.records)
 
 
@@ -63,7 +64,7 @@
     """Appends to and reads from streams of the log.
 
     Attributes:
-        long_poll_ms: Longest time that one read waits for new records.
+        long_poll_ms: Maximum time in ms that one read waits for new records.
         reads: Reads sent, for the metrics.
         appends: Appends sent, for the metrics.
     """
@@ -76,8 +77,8 @@
         """Appends one record and returns its offset.
 
         Raises:
-            LogError: REJECTED where it was not appended for certain, UNKNOWN
-                where it may have been.
+            LogError: REJECTED if the record was certainly not appended, UNKNOWN
+                if it may have been.
         """
 
     async def read(
@@ -87,31 +88,33 @@
 
         Args:
             stream: Name of the stream.
-            offset: First offset wanted; one past the end tells the end.
-            limit: Most records wanted.
-            wait_ms: How long the log may hold the answer back while there is
-                no record yet.
+            offset: First offset to read; an offset past the end returns
+                an empty page with the end.
+            limit: Maximum number of records.
+            wait_ms: Time in ms that the log may hold back its response while
+                there is no record to return.
 
         Returns:
-            The page, empty where no record came in time.
+            The page; empty if no record arrived in time.
 
         Raises:
-            LogError: TRIMMED where the offset is no longer kept.
+            LogError: TRIMMED if the log no longer keeps the offset; REJECTED
+                or UNKNOWN if the call failed.
         """
 
 
 async def read_retained(
     log: Log, stream: str, offset: int, limit: int, wait_ms: int = 0
 ) -> LogPage:
-    """Reads from an offset on, or from the oldest record that is kept.
+    """Reads from an offset on, else from the oldest record that is kept.
 
     Args:
-        log: The log.
+        log: Client of the log.
         stream: Name of the stream.
-        offset: First offset wanted.
-        limit: Most records wanted.
-        wait_ms: How long the log may hold the answer back while there is no
-            record yet.
+        offset: First offset to read.
+        limit: Maximum number of records.
+        wait_ms: Time in ms that the log may hold back its response while there
+            is no record to return.
 
     Raises:
         LogError: If the log does not answer.
--- a/packages/pomelobank-node/src/pomelobank_node/_log_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's append-only log."""
+"""HTTP client of the platform's append-only log service."""
 
 import aiohttp
 import attrs
@@ -18,10 +18,12 @@
     """Appends to and reads from streams of the log.
 
     Attributes:
-        settings: Address and time-outs.
+        settings: The log's address and time-outs.
         reads: Number of reads sent, for the metrics.
         appends: Number of appends sent, for the metrics.
-        bytes_read: Bytes of answers to reads, for the metrics.
+        bytes_read: Bytes in responses to reads, for the metrics.
+        session: The HTTP session; None before `start`.
+        long_poll_ms: Maximum time in ms that one read waits for new records.
     """
 
     settings: LogSettings
@@ -32,15 +34,15 @@
     long_poll_ms: int = attrs.field(init=False)
 
     @long_poll_ms.default
-    def _of_settings(self) -> int:
+    def _default_long_poll_ms(self) -> int:
         return self.settings.long_poll_ms
 
     async def start(self) -> None:
-        """Opens the client's session."""
+        """Opens the HTTP session."""
         self.session = aiohttp.ClientSession()
 
     async def stop(self) -> None:
-        """Closes the client's session."""
+        """Closes the HTTP session."""
         if self.session is not None:
             await self.session.close()
 
@@ -55,13 +57,15 @@
             The record's offset.
 
         Raises:
-            LogError: REJECTED where it was not appended for certain, UNKNOWN
-                where it may have been.
+            LogError: REJECTED if the record was certainly not appended, UNKNOWN
+                if it may have been.
         """
         self.appends += 1
         status, body = await self._call("POST", stream, {}, record, 0)
         if status != _HTTP_OK:
-            raise LogError(_refusal(status), f"append answered {status}")
+            raise LogError(
+                _error_kind(status), f"append to {stream}: HTTP status {status}"
+            )
         return int(msgpack.unpackb(body)["offset"])
 
     async def read(
@@ -71,16 +75,17 @@
 
         Args:
             stream: Name of the stream.
-            offset: First offset wanted.
-            limit: Most records wanted.
-            wait_ms: How long the log may hold the answer back while there is
-                no record yet.
+            offset: First offset to read.
+            limit: Maximum number of records.
+            wait_ms: Time in ms that the log may hold back its response while
+                there is no record to return.
 
         Returns:
-            The page, empty where no record came in time.
+            The page; empty if no record arrived in time.
 
         Raises:
-            LogError: TRIMMED where the offset is no longer kept.
+            LogError: TRIMMED if the log no longer keeps the offset; REJECTED
+                or UNKNOWN if the call failed.
         """
         self.reads += 1
         query = {
@@ -92,9 +97,16 @@
         self.bytes_read += len(body)
         if status == _HTTP_GONE:
             first = int(msgpack.unpackb(body)["first"])
-            raise LogError(LogErrorKind.TRIMMED, "records were trimmed", first)
+            raise LogError(
+                LogErrorKind.TRIMMED,
+                f"records of {stream} before offset {first} were trimmed",
+                first,
+            )
         if status != _HTTP_OK:
-            raise LogError(_refusal(status), f"read answered {status}")
+            raise LogError(
+                _error_kind(status),
+                f"read of {stream} at offset {offset}: HTTP status {status}",
+            )
         page = msgpack.unpackb(body)
         return LogPage(page["first"], tuple(page["records"]), page["end"])
 
@@ -123,7 +135,7 @@
             ) from error
 
 
-def _refusal(status: int) -> LogErrorKind:
+def _error_kind(status: int) -> LogErrorKind:
     if status == _HTTP_UNAVAILABLE:
         return LogErrorKind.REJECTED
     return LogErrorKind.UNKNOWN
--- a/packages/pomelobank-node/src/pomelobank_node/_log_reader.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log_reader.py
@@ -1,4 +1,4 @@
-"""Reads the configuration stream into the store, over gaps too."""
+"""Reads the configuration stream of the log into the store."""
 
 import asyncio
 import logging
@@ -20,24 +20,24 @@
 
 _logger = logging.getLogger(__name__)
 
-PAGE_LIMIT = 500
-# Replaying a record takes up to a millisecond in a large configuration; the
-# node's requests get a turn after each few, so that a long replay does not
-# hold them up.
-RECORDS_PER_TURN = 4
+MAX_PAGE_RECORDS = 500
+# Number of records that are applied between two yields to the event loop.
+# Applying a record takes up to 1 ms in a large configuration, so a long replay
+# without yields would delay the node's requests.
+RECORDS_PER_YIELD = 4
 
 
 @attrs.define
 class LogReader:
-    """Brings the store forward from the log.
+    """Advances the store with records read from the log.
 
     Attributes:
-        log: The log's client.
-        store: What is brought forward.
+        log: Client of the log.
+        store: The configuration store that the reader advances.
         end_offset: End of the log at the last read.
-        behind: Whether records were trimmed that this node never read and no
-            snapshot has helped yet.
-        recoveries: Times the node started again from a snapshot in the log,
+        behind: Whether the log has trimmed records that this node never read
+            and no snapshot has replaced them yet.
+        recoveries: Number of times the node restored a snapshot from the log,
             for the metrics.
     """
 
@@ -48,19 +48,19 @@
     recoveries: int = 0
 
     async def read(self, wait_ms: int) -> None:
-        """Reads once and applies what came.
+        """Reads one page and applies its records.
 
         Args:
-            wait_ms: How long the log may hold back an empty answer.
+            wait_ms: Time in ms that the log may hold back an empty response.
 
         Raises:
-            LogError: If the log did not answer. Records that were trimmed
-                are no error: the newest snapshot takes their place.
+            LogError: If the log did not answer. Trimmed records raise no
+                error: the newest snapshot replaces them.
         """
         version = self.store.version
         try:
             page = await self.log.read(
-                CONFIG_STREAM, version, PAGE_LIMIT, wait_ms
+                CONFIG_STREAM, version, MAX_PAGE_RECORDS, wait_ms
             )
         except LogError as error:
             if error.kind is not LogErrorKind.TRIMMED:
@@ -72,10 +72,12 @@
         await self.apply(page.first_offset, page.records)
 
     async def read_to_end(self) -> None:
-        """Reads until the node has all that the log had at the last read.
+        """Reads until the node has every record up to the log's end.
+
+        The end is the one that the last read returned.
 
         Raises:
-            LogError: If the log did not answer, or the node cannot get on.
+            LogError: If the log did not answer or a read brought no progress.
         """
         while True:
             before = self.store.version
@@ -83,50 +85,60 @@
             if self.store.version >= self.end_offset:
                 return
             if self.store.version == before:
-                raise LogError(LogErrorKind.TRIMMED, "no way to the log's end")
+                raise LogError(
+                    LogErrorKind.TRIMMED,
+                    f"the configuration is at version {before} and cannot reach"
+                    f" the log's end at offset {self.end_offset}",
+                )
 
-    async def apply(self, first_offset: int, items: tuple[bytes, ...]) -> None:
-        """Applies records in turns with the node's other work."""
-        for index, data in enumerate(items):
+    async def apply(self, first_offset: int, batch: tuple[bytes, ...]) -> None:
+        """Applies records, yielding to the event loop every few records."""
+        for index, data in enumerate(batch):
             self.store.apply(first_offset + index, data)
-            if index % RECORDS_PER_TURN == RECORDS_PER_TURN - 1:
+            if index % RECORDS_PER_YIELD == RECORDS_PER_YIELD - 1:
                 await asyncio.sleep(0)
 
-    async def _recover(self, first_kept: int) -> None:
-        # The node was cut off or stopped for longer than the log keeps
-        # records. It goes on serving its version, looks for a snapshot among
-        # the records that are left and replays what follows that.
+    async def _recover(self, first_retained: int) -> None:
+        # The node was partitioned off or stopped for longer than the log keeps
+        # records. It continues to serve its version, searches the retained
+        # records for a snapshot and replays the records after the snapshot.
         self.behind = True
-        kept: list[bytes] = []
+        retained: list[bytes] = []
         while True:
-            page = await self._page(first_kept + len(kept))
+            page = await self._read_page(first_retained + len(retained))
             for data in page.records:
-                kept.append(data)
-                if self._restore(data, first_kept, len(kept) - 1):
-                    start = self.store.version - first_kept
-                    await self.apply(self.store.version, tuple(kept[start:]))
+                retained.append(data)
+                if self._restore_from(data, first_retained, len(retained) - 1):
+                    start = self.store.version - first_retained
+                    await self.apply(
+                        self.store.version, tuple(retained[start:])
+                    )
                     return
             if not page.records:
                 _logger.error(
-                    "config.records_missing", extra={"first": first_kept}
+                    "config.records_missing", extra={"first": first_retained}
                 )
                 return
 
-    async def _page(self, offset: int) -> LogPage:
-        page = await self.log.read(CONFIG_STREAM, offset, PAGE_LIMIT, 0)
+    async def _read_page(self, offset: int) -> LogPage:
+        page = await self.log.read(CONFIG_STREAM, offset, MAX_PAGE_RECORDS, 0)
         self.end_offset = page.end_offset
         return page
 
-    def _restore(self, data: bytes, first_kept: int, index: int) -> bool:
+    def _restore_from(
+        self, data: bytes, first_retained: int, index: int
+    ) -> bool:
         try:
             record = decode(data, records.KINDS)
         except SchemaError:
             return False
         if not isinstance(record, SnapshotRecord):
             return False
-        offset = first_kept + index
-        found = usable_snapshot(record, offset, first_kept, self.store.version)
-        if found is None or not self.store.restore(record):
+        offset = first_retained + index
+        recovery_point = usable_snapshot(
+            record, offset, first_retained, self.store.version
+        )
+        if recovery_point is None or not self.store.restore(record):
             return False
         self.behind = False
         self.recoveries += 1
--- a/packages/pomelobank-node/src/pomelobank_node/_membership.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_membership.py
@@ -1,4 +1,4 @@
-"""Runs membership over the streams to peers."""
+"""Runs the membership protocol over the streams to peers."""
 
 import asyncio
 import logging
@@ -28,16 +28,19 @@
 
 _logger = logging.getLogger(__name__)
 _MS_PER_S = 1000
-# Shortest pause between two ticks.
-_SHORTEST_PAUSE_MS = 10
-# Everybody who may send work hears of a drain within this time, or by gossip.
-_TELL_ALL_S = 1.5
-# Frames that wait for a stream. At rest there are a handful; when a data
-# centre is cut off, streams take a second to fail, and a node that kept every
-# frame for it would run out of memory. Gossip repeats itself, so they may go.
-_MAX_DELIVERIES = 2048
-# Only what operators should see: a starting node learns of everybody at once.
-_LEVELS = {
+# Minimum pause between two ticks.
+_MIN_TICK_PAUSE_MS = 10
+# Time limit for broadcasting the own entry when the node drains or leaves.
+# Members not reached within this time learn of the change by gossip.
+_BROADCAST_TIMEOUT_S = 1.5
+# Limit of the membership frames that wait for a stream. Normally only a few
+# frames wait. When a data centre is partitioned off, each stream takes a second
+# to fail, and a node that kept every frame would run out of memory. Gossip
+# repeats its contents, so further frames can be dropped.
+_MAX_PENDING_FRAMES = 2048
+# States whose changes operators should see. Other changes are logged at debug
+# level, since a starting node learns of all members at once.
+_LOG_LEVELS = {
     MemberState.SUSPECT.value: logging.INFO,
     MemberState.DRAINING.value: logging.INFO,
     MemberState.GONE.value: logging.INFO,
@@ -45,31 +48,37 @@
 
 
 class Versioned(Protocol):
-    """Tells the configuration version in force."""
+    """Any object that has the version of the configuration in force."""
 
     @property
     def version(self) -> int:
-        """Version in force."""
+        """Version of the configuration in force."""
 
 
 @attrs.define(eq=False)
 class Membership:
-    """Watches the members and keeps the table of them up to date.
+    """Monitors the members and keeps the member table up to date.
 
     Attributes:
-        table: What is known.
-        settings: Periods, time-outs and seeds.
-        log: Where first contacts are announced.
+        table: The member table.
+        settings: Periods, time-outs and seed addresses.
+        log: Client of the log that holds the contacts.
         links: Streams to peers.
-        store: Tells the version in force.
-        clock: Tells the time.
-        on_tick: Called with the time at every tick, about twice in a period.
-            Parts that have to look at something now and then do so here, so
-            that the process wakes up once for all of them.
-        swim: Decides.
-        finder: Finds a first member.
-        dropped_frames: Frames that found no room, for the metrics.
+        store: Provides the version of the configuration in force.
+        clock: Monotonic clock.
+        on_tick: Callbacks that get the monotonic time in ms at every tick,
+            about twice per period. Components register their periodic checks
+            here, so that one timer wakes the process for all of them.
+        dropped_frames: Frames dropped because too many were waiting, for the
+            metrics.
         failed_sends: Frames whose peer was unreachable, for the metrics.
+        tick_due: Set when the next tick is due.
+        timer: Timer that sets `tick_due`.
+        tasks: Tasks of the membership and of the contact finder.
+        send_tasks: Frames that are being sent or wait for a stream.
+        swim: Implements the membership protocol.
+        finder: Finds the first members to contact.
+        send_slots: Limits the frames that are being sent at a time.
     """
 
     table: MemberTable
@@ -81,32 +90,32 @@
     on_tick: list[Callable[[int], None]] = attrs.field(factory=list)
     dropped_frames: int = 0
     failed_sends: int = 0
-    woken: asyncio.Event = attrs.field(factory=asyncio.Event)
+    tick_due: asyncio.Event = attrs.field(factory=asyncio.Event)
     timer: asyncio.TimerHandle | None = None
     tasks: list[asyncio.Task[None]] = attrs.field(factory=list)
-    deliveries: set[asyncio.Task[None]] = attrs.field(factory=set)
+    send_tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
     swim: Swim = attrs.field(init=False)
     finder: ContactFinder = attrs.field(init=False)
-    slots: asyncio.Semaphore = attrs.field(init=False)
+    send_slots: asyncio.Semaphore = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        source = random.Random()
-        self.swim = Swim(self.table, self.settings, source)
+        rng = random.Random()
+        self.swim = Swim(self.table, self.settings, rng)
         self.finder = ContactFinder(
-            BootstrapContacts(source),
+            BootstrapContacts(rng),
             self.swim,
             self.log,
             self.links,
             self.clock,
         )
-        # Half of the handshakes stay free for requests, so that frames to
-        # members that do not answer cannot hold requests up.
+        # Membership frames use at most half of the concurrent handshakes, so
+        # that frames to members that do not answer cannot delay requests.
         limit = max(1, self.settings.connect_limit // 2)
-        self.slots = asyncio.Semaphore(limit)
+        self.send_slots = asyncio.Semaphore(limit)
 
     async def start(self) -> None:
-        """Starts the tasks that join the mesh and watch its members."""
-        self.links.on_frame = self._take_from_link
+        """Starts the tasks that join the mesh and monitor its members."""
+        self.links.on_frame = self._receive_from_link
         self.finder.contacts.add(self.settings.seeds)
         self.tasks = [
             asyncio.create_task(self._run(), name="membership"),
@@ -114,10 +123,10 @@
         ]
 
     async def stop(self) -> None:
-        """Ends the tasks."""
+        """Cancels all tasks and waits until they have ended."""
         if self.timer is not None:
             self.timer.cancel()
-        tasks = [*self.tasks, *self.deliveries]
+        tasks = [*self.tasks, *self.send_tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -125,35 +134,39 @@
     def receive(
         self, frame: WireMessage, reply: Callable[[WireMessage], None]
     ) -> None:
-        """Takes a frame of membership.
+        """Handles a membership frame.
 
         Args:
             frame: The frame.
             reply: Sends a frame back on the same stream.
         """
         actions = handle_frame(frame, self.swim, self.clock.now_ms())
-        self._act(actions, reply)
-        self._note_changes()
-        self._plan()
+        self._run_actions(actions, reply)
+        self._process_changes()
+        self._schedule_tick()
 
-    def _take_from_link(
+    def _receive_from_link(
         self, frame: WireMessage, reply: Callable[[WireMessage], None]
     ) -> None:
         self.receive(frame, reply)
 
     def gossip_own_entry(self) -> None:
-        """Spreads a change of the own entry, beginning at once."""
-        self._act(self.swim.gossip_own_entry())
+        """Starts to spread a change of the own entry by gossip."""
+        self._run_actions(self.swim.gossip_own_entry())
 
     async def broadcast_own_entry(self) -> None:
-        """Sends the own entry straight to every member."""
+        """Sends the own entry directly to every member.
+
+        Returns once all frames were sent or `_BROADCAST_TIMEOUT_S` has passed.
+        """
         actions = self.swim.broadcast_own_entry()
-        # Peers that sent work lately have a stream; they are told before any
-        # handshake is waited for. Sorting keeps suspects behind the others.
+        # Peers that sent requests lately have an open stream and get the entry
+        # before any handshake starts. The sort is stable, so suspected members
+        # stay last within both groups.
         actions.sort(key=lambda action: not self._has_stream(action))
-        tasks = self._act(actions)
+        tasks = self._run_actions(actions)
         if tasks:
-            await asyncio.wait(tasks, timeout=_TELL_ALL_S)
+            await asyncio.wait(tasks, timeout=_BROADCAST_TIMEOUT_S)
 
     def _has_stream(self, action: SwimAction) -> bool:
         return isinstance(action, SendFrame) and self.links.is_open(
@@ -161,40 +174,40 @@
         )
 
     async def leave(self) -> None:
-        """Tells every member that this node has ended its work."""
+        """Announces to every member that this node has stopped."""
         self.table.update_own(state=MemberState.GONE.value)
         await self.broadcast_own_entry()
 
     async def _run(self) -> None:
         while True:
-            self.woken.clear()
+            self.tick_due.clear()
             self._tick()
             self.links.close_idle(self.settings.idle_link_ms)
-            self._plan()
-            await self.woken.wait()
+            self._schedule_tick()
+            await self.tick_due.wait()
 
-    def _plan(self) -> None:
-        """Sets the timer to what is due next."""
+    def _schedule_tick(self) -> None:
+        """Sets the timer for the next tick."""
         if self.timer is not None:
             self.timer.cancel()
         pause_ms = self.swim.due_ms() - self.clock.now_ms()
         self.timer = asyncio.get_running_loop().call_later(
-            max(_SHORTEST_PAUSE_MS, pause_ms) / _MS_PER_S, self.woken.set
+            max(_MIN_TICK_PAUSE_MS, pause_ms) / _MS_PER_S, self.tick_due.set
         )
 
     def _tick(self) -> None:
         now_ms = self.clock.now_ms()
         if self.table.own.version != self.store.version:
             self.table.update_version(self.store.version)
-        for look in self.on_tick:
-            look(now_ms)
-        self._act(self.swim.tick(now_ms))
-        self._note_changes()
+        for callback in self.on_tick:
+            callback(now_ms)
+        self._run_actions(self.swim.tick(now_ms))
+        self._process_changes()
 
-    def _note_changes(self) -> None:
+    def _process_changes(self) -> None:
         for entry in self.swim.pop_changes():
             _logger.log(
-                _LEVELS.get(entry.state, logging.DEBUG),
+                _LOG_LEVELS.get(entry.state, logging.DEBUG),
                 "members.changed",
                 extra={
                     "member": entry.node,
@@ -203,19 +216,20 @@
                 },
             )
             if entry.state == MemberState.GONE.value:
-                # Bytes for a peer that was cut off wait for the kernel's
-                # retries, which come minutes apart by then; callers would
-                # wait too, and the first words after the cut come late.
+                # Bytes queued for a partitioned peer wait for the kernel's TCP
+                # retries, which are minutes apart by then. Callers would wait
+                # for them too, and the first frames after the partition would
+                # arrive late.
                 self.links.disconnect(entry.peer_address)
-        self._note_joined()
+        self._update_joined()
 
-    def _note_joined(self) -> None:
+    def _update_joined(self) -> None:
         if self.table.present():
             self.finder.joined.set()
         else:
             self.finder.joined.clear()
 
-    def _act(
+    def _run_actions(
         self,
         actions: Iterable[SwimAction],
         reply: Callable[[WireMessage], None] | None = None,
@@ -229,18 +243,18 @@
         return tasks
 
     def _post(self, action: SendFrame) -> list[asyncio.Task[None]]:
-        if len(self.deliveries) >= _MAX_DELIVERIES:
+        if len(self.send_tasks) >= _MAX_PENDING_FRAMES:
             self.dropped_frames += 1
             return []
         task = asyncio.create_task(self._deliver(action))
-        self.deliveries.add(task)
-        task.add_done_callback(self.deliveries.discard)
+        self.send_tasks.add(task)
+        task.add_done_callback(self.send_tasks.discard)
         return [task]
 
     async def _deliver(self, action: SendFrame) -> None:
         try:
-            async with self.slots:
+            async with self.send_slots:
                 await self.links.to(action.address).send(action.frame)
         except RequestError:
             self.failed_sends += 1
-            self._act(self.swim.on_unreachable(action.address))
+            self._run_actions(self.swim.on_unreachable(action.address))
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_contact_finder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_contact_finder.py
@@ -1,4 +1,4 @@
-"""First contacts through the log, in virtual time."""
+"""Joining the mesh through contacts in the log, in virtual time."""
 
 import asyncio
 import random
@@ -18,41 +18,41 @@
 from pomelobank_schema.generated.records import AnnounceRecord
 from pomelobank_schema.generated.settings import MembershipSettings
 
-ANSWER_S = 0.004
+RESPONSE_TIME_S = 0.004
 OTHER = MemberEntry(node="other", state="ready", peer_address="127.0.0.1:2")
 
 
 @attrs.define(eq=False)
-class HeldBackLog:
-    """A log whose reads wait for records, as far as `waits` says."""
+class LongPollLog:
+    """A log whose reads wait for records if `supports_long_poll` is set."""
 
-    waits: bool = True
+    supports_long_poll: bool = True
     records: list[bytes] = attrs.field(factory=list)
-    moved: asyncio.Event = attrs.field(factory=asyncio.Event)
+    changed: asyncio.Event = attrs.field(factory=asyncio.Event)
     long_poll_ms: int = 0
     reads: int = 0
     appends: int = 0
 
     async def append(self, stream: str, record: bytes) -> int:
         self.appends += 1
-        await asyncio.sleep(ANSWER_S)
+        await asyncio.sleep(RESPONSE_TIME_S)
         return self.add(record)
 
     def add(self, record: bytes) -> int:
         self.records.append(record)
-        moved, self.moved = self.moved, asyncio.Event()
-        moved.set()
+        changed, self.changed = self.changed, asyncio.Event()
+        changed.set()
         return len(self.records) - 1
 
     async def read(
         self, stream: str, offset: int, limit: int, wait_ms: int
     ) -> LogPage:
         self.reads += 1
-        await asyncio.sleep(ANSWER_S)
-        if offset >= len(self.records) and self.waits:
+        await asyncio.sleep(RESPONSE_TIME_S)
+        if offset >= len(self.records) and self.supports_long_poll:
             try:
                 async with asyncio.timeout(wait_ms / 1000):
-                    await self.moved.wait()
+                    await self.changed.wait()
             except TimeoutError:
                 pass
         found = tuple(self.records[offset : offset + limit])
@@ -61,7 +61,7 @@
 
 @attrs.define(eq=False)
 class Links:
-    """Streams on which whoever is asked joins the mesh."""
+    """Streams to peers, each of which lets the node join the mesh."""
 
     finder: ContactFinder | None = None
 
@@ -74,7 +74,7 @@
         self.finder.joined.set()
 
 
-def finder(log: HeldBackLog, time: VirtualTime) -> ContactFinder:
+def finder(log: LongPollLog, time: VirtualTime) -> ContactFinder:
     own = MemberEntry(node="own", state="ready", peer_address="127.0.0.1:1")
     swim = Swim(MemberTable(own), MembershipSettings(), random.Random(1))
     links = Links()
@@ -95,39 +95,49 @@
     )
 
 
-def test_a_node_that_waits_hears_of_the_first_record_in_one_read() -> None:
-    """Guards against several calls of each of many nodes that start."""
-    time, log = VirtualTime(), HeldBackLog()
+def test_a_waiting_node_gets_the_first_record_in_one_read() -> None:
+    """Many nodes start together, before the log holds any contact.
 
-    async def play() -> None:
+    If each node polled the log repeatedly, the log would get several calls from
+    every node; one long poll per node is enough.
+    """
+    time, log = VirtualTime(), LongPollLog()
+
+    async def run() -> None:
         found = finder(log, time)
         asyncio.get_running_loop().call_later(0.01, log.add, announcement())
         assert await found._join()
 
-    run_in_virtual_time(time, play())
+    run_in_virtual_time(time, run())
     assert (log.reads, log.appends) == (1, 0)
 
 
-def test_a_node_that_finds_nobody_announces_itself_once() -> None:
-    """Guards against a mesh whose first node waits for ever."""
-    time, log = VirtualTime(), HeldBackLog()
+def test_a_node_that_finds_no_member_announces_itself_once() -> None:
+    """The first node of a mesh finds no contact in the log.
+
+    If the node did not announce itself, all nodes would wait without end.
+    """
+    time, log = VirtualTime(), LongPollLog()
 
-    async def play() -> None:
+    async def run() -> None:
         assert not await finder(log, time)._join()
 
-    run_in_virtual_time(time, play())
+    run_in_virtual_time(time, run())
     assert (log.reads, log.appends) == (2, 1)
 
 
-def test_a_log_that_does_not_wait_is_not_asked_all_the_time() -> None:
-    """Guards against a loop of reads at a log that answers at once."""
-    time, log = VirtualTime(), HeldBackLog(waits=False)
+def test_a_log_without_long_polls_is_not_read_in_a_loop() -> None:
+    """The log answers each read at once, although the node asks it to wait.
+
+    Without a pause between reads, the node would call the log in a busy loop.
+    """
+    time, log = VirtualTime(), LongPollLog(supports_long_poll=False)
     log.add(announcement())
 
-    async def play() -> None:
+    async def run() -> None:
         task = asyncio.create_task(finder(log, time).run())
         await asyncio.sleep(60)
         task.cancel()
 
-    run_in_virtual_time(time, play())
+    run_in_virtual_time(time, run())
     assert log.reads <= 15
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_departure_log.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_departure_log.py
@@ -1,4 +1,4 @@
-"""Departures that a process finds in the log."""
+"""Departures that a node reads from the log at its start."""
 
 import attrs
 import pytest
@@ -15,8 +15,8 @@
 
 
 @attrs.define(eq=False)
-class ScriptedLog:
-    """A log that holds one departure."""
+class LogWithOneDeparture:
+    """A log that holds one departure record."""
 
     long_poll_ms: int = 0
     reads: int = 0
@@ -34,17 +34,21 @@
 
 
 @pytest.mark.parametrize(
-    ("first_start", "reads", "known"),
+    ("first_start", "reads", "has_departed"),
     [
         pytest.param(True, 0, False, id="first start of the mesh"),
         pytest.param(False, 1, True, id="later start"),
     ],
 )
-async def test_departures_are_read_where_there_may_be_some(
-    first_start: bool, reads: int, known: bool
+async def test_departures_are_read_except_on_the_first_start(
+    first_start: bool, reads: int, has_departed: bool
 ) -> None:
-    """Guards against a call for each of many nodes that start together."""
-    log = ScriptedLog()
+    """Many nodes of a new mesh start together.
+
+    The log holds no departures at the first start, so a read by each node would
+    only load the log.
+    """
+    log = LogWithOneDeparture()
     departures = DepartureLog(log, first_start)
     await departures.start()
     await departures.ready.wait()
@@ -56,4 +60,4 @@
         instance=LEFT.instance,
         started_at_ms=LEFT.started_at_ms,
     )
-    assert (log.reads, departures.has_departed(target)) == (reads, known)
+    assert (log.reads, departures.has_departed(target)) == (reads, has_departed)
