--- a/packages/pomelobank-testing/src/pomelobank_testing/_experiment.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_experiment.py
@@ -1,4 +1,7 @@
-"""Tries a policy: `python -m pomelobank_testing experiment PATTERN`."""
+"""Replays a load pattern, with chosen mechanisms switched off.
+
+Usage: `python -m pomelobank_testing experiment PATTERN`.
+"""
 
 import argparse
 import statistics
@@ -11,11 +14,11 @@
     run_pattern,
 )
 
-_ROW = "{:<10} {:>6} {:>6} {:>6} {:>8} {:>7} {:>13} {:>9}"
+_ROW_FORMAT = "{:<10} {:>6} {:>6} {:>6} {:>8} {:>7} {:>13} {:>9}"
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Replays a load with several seeds and prints what became of callers."""
+    """Replays a pattern with several seeds and prints the outcomes."""
     parser = argparse.ArgumentParser(prog="experiment", description=__doc__)
     parser.add_argument("pattern", choices=sorted(PATTERNS))
     parser.add_argument(
@@ -28,7 +31,7 @@
     parser.add_argument("--seeds", type=int, default=3, metavar="N")
     options = parser.parse_args(arguments)
     if options.seeds < 1:
-        parser.error("--seeds takes a whole number from 1 on")
+        parser.error(f"--seeds must be at least 1, but is {options.seeds}")
     pattern = PATTERNS[options.pattern]
     without = frozenset(options.without)
     runs = [
@@ -36,33 +39,33 @@
     ]
     print(f"{options.pattern}: {pattern.purpose}")
     _print_routes(runs)
-    worths = [run.value_ratio for run in runs]
-    bound = statistics.fmean(
+    value_ratios = [run.value_ratio for run in runs]
+    max_ratio = statistics.fmean(
         max_value_ratio(pattern, at_s + 0.5)
         for at_s in range(int(pattern.duration_s))
     )
     print(
-        f"worth {statistics.fmean(worths):.3f}"
-        f" ({min(worths):.3f} to {max(worths):.3f}),"
-        f" room for {bound:.3f}"
+        f"value ratio {statistics.fmean(value_ratios):.3f}"
+        f" ({min(value_ratios):.3f} to {max(value_ratios):.3f}),"
+        f" upper bound {max_ratio:.3f}"
     )
     return 0
 
 
 def _print_routes(runs: list[Outcomes]) -> None:
-    heads = ("asked", "in aim", "late", "refused", "failed")
-    print(_ROW.format("route", *heads, "refused in ms", "arrivals"))
+    headings = ("asked", "in aim", "late", "refused", "failed")
+    print(_ROW_FORMAT.format("route", *headings, "refused in ms", "arrivals"))
     for route in runs[0].pattern.routes:
-        found = [run.for_route(route.name) for run in runs]
+        outcomes = [run.for_route(route.name) for run in runs]
         print(
-            _ROW.format(
+            _ROW_FORMAT.format(
                 route.name,
-                sum(item.requests for item in found),
-                sum(item.within_objective for item in found),
-                sum(item.past_objective for item in found),
-                sum(item.refused for item in found),
-                sum(item.failed for item in found),
-                round(max(item.refusal_time_p95_ms for item in found)),
-                sum(item.arrivals for item in found),
+                sum(item.requests for item in outcomes),
+                sum(item.within_objective for item in outcomes),
+                sum(item.past_objective for item in outcomes),
+                sum(item.refused for item in outcomes),
+                sum(item.failed for item in outcomes),
+                round(max(item.refusal_time_p95_ms for item in outcomes)),
+                sum(item.arrivals for item in outcomes),
             )
         )
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/__init__.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/__init__.py
@@ -1,4 +1,4 @@
-"""Loads replayed against the product's decisions, in virtual time."""
+"""Replays load patterns against the product's code in virtual time."""
 
 from pomelobank_testing.experiment._callers import run_pattern
 from pomelobank_testing.experiment._mechanisms import MECHANISMS
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_callers.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_callers.py
@@ -1,4 +1,4 @@
-"""Callers: they come at random, wait, and come back after a refusal."""
+"""Callers: they send requests at random times and retry after refusals."""
 
 import asyncio
 import random
@@ -14,27 +14,31 @@
 from pomelobank_testing.experiment._patterns import Pattern, RouteLoad
 
 _MS_PER_S = 1000
-# A caller's way to its node and back.
-_WAY_S = 0.003
-# Callers wait as they are told, up to this part of the time they have left.
-_MOST_PAUSE_PART = 1 / 3
-# Callers of one route differ in their patience by so much.
-_IMPATIENCE = 0.15
+# One-way network delay between a caller and its node.
+_ONE_WAY_S = 0.003
+# Callers wait before a retry for as long as the refusal asks them to, but for
+# no more than this fraction of the time left before their deadline.
+_MAX_PAUSE_RATIO = 1 / 3
+# The deadlines of one route's callers are uniformly distributed between this
+# fraction below the route's deadline and the route's deadline itself.
+_DEADLINE_SPREAD_RATIO = 0.15
 
 
 @attrs.define(eq=False)
 class _Run:
-    """One run of a pattern."""
+    """One run of a load pattern."""
 
     mesh: ModelMesh
     outcomes: Outcomes
     seed: int
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
-    async def play(self) -> None:
+    async def execute(self) -> None:
         departures = asyncio.create_task(self.mesh.run_departures())
         routes = [item for item in self.mesh.pattern.routes if item.per_s]
-        await asyncio.gather(*(self._arrive(route) for route in routes))
+        await asyncio.gather(
+            *(self._generate_requests(route) for route in routes)
+        )
         while self.tasks:
             await asyncio.wait(self.tasks)
         departures.cancel()
@@ -43,48 +47,53 @@
             for route, count in target.arrivals.items():
                 self.outcomes.for_route(route).arrivals += count
 
-    async def _arrive(self, route: RouteLoad) -> None:
+    async def _generate_requests(self, route: RouteLoad) -> None:
         loop = asyncio.get_running_loop()
-        # The same callers come at the same moments whatever is switched off.
+        # A source of randomness of its own for each route gives the same
+        # callers at the same times, whichever mechanisms are switched off.
         rng = random.Random(f"{self.seed} {route.name}")
         while loop.time() < self.mesh.pattern.duration_s:
-            per_s = route.per_s * self._times(loop.time())
+            per_s = route.per_s * self._rate_factor(loop.time())
             await asyncio.sleep(rng.expovariate(per_s))
             entry = rng.choice(self.mesh.nodes)
-            patience = rng.uniform(1 - _IMPATIENCE, 1.0)
-            task = loop.create_task(self._call(entry, route, patience))
+            deadline_factor = rng.uniform(1 - _DEADLINE_SPREAD_RATIO, 1.0)
+            task = loop.create_task(
+                self._send_with_retries(entry, route, deadline_factor)
+            )
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    def _times(self, now_s: float) -> float:
+    def _rate_factor(self, now_s: float) -> float:
         for burst in self.mesh.pattern.bursts:
             if burst.from_s <= now_s < burst.until_s:
                 return burst.rate_factor
         return 1.0
 
-    async def _call(
-        self, entry: ModelNode, route: RouteLoad, patience: float
+    async def _send_with_retries(
+        self, entry: ModelNode, route: RouteLoad, deadline_factor: float
     ) -> None:
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
-        deadline_s = begun_s + patience * route.deadline_ms / _MS_PER_S
+        deadline_s = begun_s + deadline_factor * route.deadline_ms / _MS_PER_S
         for attempt in range(1 + route.max_retries):
             sent_s = loop.time()
-            left_ms = (deadline_s - sent_s) * _MS_PER_S
-            await asyncio.sleep(_WAY_S)
-            reply = await self.mesh.send(entry, route, left_ms)
-            await asyncio.sleep(_WAY_S)
-            if not self._comes_back(route, reply, attempt):
+            remaining_ms = (deadline_s - sent_s) * _MS_PER_S
+            await asyncio.sleep(_ONE_WAY_S)
+            reply = await self.mesh.send(entry, route, remaining_ms)
+            await asyncio.sleep(_ONE_WAY_S)
+            if not self._should_retry(route, reply, attempt):
                 break
-            held_ms = (loop.time() - sent_s) * _MS_PER_S
-            self.outcomes.for_route(route.name).refusal_times_ms.append(held_ms)
-            left_s = max(0.0, deadline_s - loop.time())
+            attempt_ms = (loop.time() - sent_s) * _MS_PER_S
+            self.outcomes.for_route(route.name).refusal_times_ms.append(
+                attempt_ms
+            )
+            remaining_s = max(0.0, deadline_s - loop.time())
             pause_s = reply.retry_after_ms / _MS_PER_S
-            await asyncio.sleep(min(pause_s, _MOST_PAUSE_PART * left_s))
+            await asyncio.sleep(min(pause_s, _MAX_PAUSE_RATIO * remaining_s))
         if self.outcomes.is_measured(begun_s):
             self._count(route, reply, loop.time() - begun_s)
 
-    def _comes_back(
+    def _should_retry(
         self, route: RouteLoad, reply: ForwardReply, attempt: int
     ) -> bool:
         if is_success(reply):
@@ -119,18 +128,18 @@
 def run_pattern(
     pattern: Pattern, seed: int, without: frozenset[str] = frozenset()
 ) -> Outcomes:
-    """Replays a load once.
+    """Replays a load pattern once.
 
     Args:
-        pattern: The load.
+        pattern: The load pattern.
         seed: Seed of the run.
-        without: Mechanisms that are switched off.
+        without: Names of the mechanisms that are switched off.
 
     Returns:
-        What became of the callers.
+        The outcomes of the callers' requests.
     """
     time = VirtualTime()
     outcomes = Outcomes(pattern)
     mesh = ModelMesh(pattern, time, random.Random(seed), without)
-    run_in_virtual_time(time, _Run(mesh, outcomes, seed).play())
+    run_in_virtual_time(time, _Run(mesh, outcomes, seed).execute())
     return outcomes
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms that an experiment can switch off, one by one."""
+"""Mechanisms that an experiment can switch off separately."""
 
 import sys
 from collections.abc import Callable
@@ -24,13 +24,14 @@
 
 @attrs.define(eq=False)
 class ModelNode:
-    """The parts of one node that decide about requests.
+    """The components of one node that decide about requests.
 
     Attributes:
-        name: Its name.
-        forwarder: Places requests and sends them.
-        owner: Runs them on its target.
-        caller_timeouts: Tells what callers have used on earlier attempts.
+        name: The node's name.
+        forwarder: Selects a target for each request and sends the request.
+        owner: Runs requests on the node's own target.
+        caller_timeouts: Estimates the time that callers have used on earlier
+            attempts.
     """
 
     name: str
@@ -42,19 +43,25 @@
 Switch = Callable[[ModelNode], None]
 
 
-class _NobodyOvertakes(RankLoad):
+class _NoRankLoad(RankLoad):
+    """Estimates waits without later requests of a better rank."""
+
     def available_fraction(
         self, rank: Rank, slots: int, now_ms: float
     ) -> float:
         return 1.0
 
 
-class _AllAreNew(CallerTimeouts):
+class _NoElapsedTime(CallerTimeouts):
+    """Treats every attempt as its caller's first."""
+
     def elapsed_ms(self, route: str, given_ms: int) -> int:
         return 0
 
 
-class _LateMayWait(DeadlineAdmission):
+class _NoLimitPastObjective(DeadlineAdmission):
+    """Keeps requests queued past their objective until their wait deadline."""
+
     def _expected_to_time_out(self, now_ms: float) -> list[AdmissionRequest]:
         return [
             ticket
@@ -66,19 +73,25 @@
         return []
 
 
-class _OneQueue(TwoChoices):
+class _NoLateBinding(TwoChoices):
+    """Queues each request at one target only."""
+
     def pick_several(
         self, candidates: Candidates, count: int, now_ms: float
     ) -> list[MemberEntry]:
         return []
 
 
-class _NothingIsBrief(BriefWork):
+class _NoBriefWork(BriefWork):
+    """Gives brief requests no precedence."""
+
     def is_brief(self, route: str, slots: int, now_ms: float) -> bool:
         return False
 
 
 class _Unranked(DeadlineAdmission):
+    """Admits requests of all priorities as equally urgent."""
+
     def offer(
         self, ticket: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
@@ -86,13 +99,13 @@
         return super().offer(ticket, now_ms)
 
 
-def _without_overtaking(node: ModelNode) -> None:
+def _without_rank_load(node: ModelNode) -> None:
     admission = node.owner.admission_queue.admission
     assert isinstance(admission, DeadlineAdmission)
-    admission.rank_load = _NobodyOvertakes()
+    admission.rank_load = _NoRankLoad()
 
 
-def _admit_by(node: ModelNode, kind: type[DeadlineAdmission]) -> None:
+def _use_admission(node: ModelNode, kind: type[DeadlineAdmission]) -> None:
     limit = node.owner.admission_queue.admission.limit
     assert isinstance(limit, SlotLimit)
     node.owner.admission_queue.admission = kind(limit)
@@ -101,24 +114,24 @@
 def _without_brief_first(node: ModelNode) -> None:
     admission = node.owner.admission_queue.admission
     assert isinstance(admission, DeadlineAdmission)
-    admission.brief_work = _NothingIsBrief(admission.service_times)
+    admission.brief_work = _NoBriefWork(admission.service_times)
 
 
 def _without_late_binding(node: ModelNode) -> None:
-    placing = node.forwarder.load_balancer
-    assert isinstance(placing, TwoChoices)
-    node.forwarder.load_balancer = _OneQueue(placing.rng, placing.ramp)
+    balancer = node.forwarder.load_balancer
+    assert isinstance(balancer, TwoChoices)
+    node.forwarder.load_balancer = _NoLateBinding(balancer.rng, balancer.ramp)
 
 
-def _without_offers(node: ModelNode) -> None:
+def _without_free_rejections(node: ModelNode) -> None:
     node.forwarder.retries.free_rejections = False
 
 
-def _without_patience(node: ModelNode) -> None:
-    node.caller_timeouts = _AllAreNew()
+def _without_caller_timeouts(node: ModelNode) -> None:
+    node.caller_timeouts = _NoElapsedTime()
 
 
-def _without_held_back_bodies(node: ModelNode) -> None:
+def _without_deferred_bodies(node: ModelNode) -> None:
     node.forwarder.deferred_body_min_bytes = sys.maxsize
 
 
@@ -129,11 +142,11 @@
 MECHANISMS: dict[str, Switch] = {
     "brief-first": _without_brief_first,
     "hedging": _without_hedging,
-    "held-back-bodies": _without_held_back_bodies,
+    "held-back-bodies": _without_deferred_bodies,
     "late-binding": _without_late_binding,
-    "late-limit": lambda node: _admit_by(node, _LateMayWait),
-    "offers": _without_offers,
-    "overtaking": _without_overtaking,
-    "patience": _without_patience,
-    "ranks": lambda node: _admit_by(node, _Unranked),
+    "late-limit": lambda node: _use_admission(node, _NoLimitPastObjective),
+    "offers": _without_free_rejections,
+    "overtaking": _without_rank_load,
+    "patience": _without_caller_timeouts,
+    "ranks": lambda node: _use_admission(node, _Unranked),
 }
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_mesh.py
@@ -1,7 +1,8 @@
 """A mesh of nodes and targets in one process, in virtual time.
 
-Forwarder, gate, admission, placing, retries and hedging are the product's own;
-streams between nodes are replaced by a pause, targets by a model.
+The forwarder, the admission queue, admission, load balancing, retries and
+hedging are the product's own code. Streams between nodes are replaced by a
+delay, and targets by a model.
 """
 
 import asyncio
@@ -45,34 +46,35 @@
 from pomelobank_testing.experiment._target import ModelTarget
 
 _MS_PER_S = 1000
-# One way between nodes of one data centre, and between two.
-_NEAR_MS = 0.4
-_FAR_MS = 1.6
+# One-way network delay between nodes of one data centre, and between nodes of
+# two data centres.
+_LOCAL_ONE_WAY_MS = 0.4
+_REMOTE_ONE_WAY_MS = 1.6
 _DATA_CENTRES = ("a", "a", "b", "c")
-# An operator's bounds on tries beyond the first: part of the requests, tries
-# beside that for the whole mesh, window in ms.
+# An operator's settings for the retry budget: retries as a fraction of the
+# requests, further retries for the whole mesh, and the window of both.
 _RETRY_RATIO = 0.2
-_RETRY_SLACK = 56
+_RETRY_SLACK_ATTEMPTS = 56
 _RETRY_WINDOW_MS = 10_000
-# A frame of a request or an answer without its body.
-_HEAD_BYTES = 450
-_LEFT_CHECK_S = 0.05
-_SUCCESS = 200
+# Size of a request's or response's frame without the body.
+_FRAME_HEAD_BYTES = 450
+_DEPARTURE_CHECK_INTERVAL_S = 0.05
+_SUCCESS_STATUS = 200
 
 
 def is_success(reply: ForwardReply) -> bool:
-    """Tells whether a target has answered with success."""
-    return not reply.error and reply.status == _SUCCESS
+    """Tells whether a reply is a target's successful response."""
+    return not reply.error and reply.status == _SUCCESS_STATUS
 
 
 @attrs.define(eq=False)
-class _Line:
-    """A node's line, one way; what is sent waits for what was sent before."""
+class _Uplink:
+    """A node's outgoing network link; frames are transmitted in order."""
 
     bytes_per_s: int
     free_at_s: float = 0.0
 
-    async def carry(self, size: int) -> None:
+    async def transmit(self, size: int) -> None:
         if not self.bytes_per_s:
             return
         now_s = asyncio.get_running_loop().time()
@@ -81,8 +83,8 @@
 
 
 @attrs.define(eq=False)
-class _LineBody:
-    """A body that crosses a link when it is read."""
+class _TransmittedBody:
+    """A body whose transmission over a link starts when it is read."""
 
     body: BodySource
     link: "_Link"
@@ -92,9 +94,9 @@
         self.started = True
         data = await self.body.read()
         if data:
-            await asyncio.sleep(self.link.pause_s)
-            await self.link.out.carry(len(data))
-            await asyncio.sleep(self.link.pause_s)
+            await asyncio.sleep(self.link.one_way_s)
+            await self.link.request_uplink.transmit(len(data))
+            await asyncio.sleep(self.link.one_way_s)
         return data
 
     def close(self) -> None:
@@ -103,34 +105,39 @@
 
 @attrs.define(eq=False)
 class _Link:
-    """The way to one node."""
+    """A link to one node."""
 
     node: ModelNode
-    pause_s: float
+    one_way_s: float
     pattern: Pattern
-    out: _Line
-    back: _Line
+    request_uplink: _Uplink
+    reply_uplink: _Uplink
 
     async def forward(
         self, request: ForwardRequest, on_slot: SlotAcceptor | None = None
     ) -> ForwardReply:
         async def offer_slot() -> bool:
-            await asyncio.sleep(self.pause_s)
-            taken = on_slot is not None and on_slot()
-            await asyncio.sleep(self.pause_s)
-            return taken
-
-        await self.out.carry(_HEAD_BYTES + len(request.body))
-        await asyncio.sleep(self.pause_s)
-        rest = rest_of(request)
+            await asyncio.sleep(self.one_way_s)
+            accepted = on_slot is not None and on_slot()
+            await asyncio.sleep(self.one_way_s)
+            return accepted
+
+        await self.request_uplink.transmit(
+            _FRAME_HEAD_BYTES + len(request.body)
+        )
+        await asyncio.sleep(self.one_way_s)
+        remaining_body = rest_of(request)
         reply = await self.node.owner.serve(
-            with_rest(request, rest and _LineBody(rest, self)),
+            with_rest(
+                request,
+                remaining_body and _TransmittedBody(remaining_body, self),
+            ),
             offer_slot if request.bind_late else None,
         )
         route = self.pattern.route(request.route)
         answer_bytes = route.answer_bytes if is_success(reply) else 0
-        await self.back.carry(_HEAD_BYTES + answer_bytes)
-        await asyncio.sleep(self.pause_s)
+        await self.reply_uplink.transmit(_FRAME_HEAD_BYTES + answer_bytes)
+        await asyncio.sleep(self.one_way_s)
         return reply
 
     async def send(self, frame: object) -> None:
@@ -139,23 +146,27 @@
 
 @attrs.define(eq=False)
 class _Links:
-    """Stands in place of a node's streams to its peers."""
+    """Replaces a node's streams to its peers."""
 
     mesh: "ModelMesh"
     own_node: str
-    own_centre: str
+    own_data_centre: str
 
     def to(self, address: str) -> _Link:
         node = self.mesh.by_address[address]
-        centre = node.forwarder.members.own.data_centre
-        pause_ms = _NEAR_MS if centre == self.own_centre else _FAR_MS
-        lines = self.mesh.lines
+        data_centre = node.forwarder.members.own.data_centre
+        one_way_ms = (
+            _LOCAL_ONE_WAY_MS
+            if data_centre == self.own_data_centre
+            else _REMOTE_ONE_WAY_MS
+        )
+        uplinks = self.mesh.uplinks
         return _Link(
             node,
-            pause_ms / _MS_PER_S,
+            one_way_ms / _MS_PER_S,
             self.mesh.pattern,
-            lines[self.own_node],
-            lines[node.name],
+            uplinks[self.own_node],
+            uplinks[node.name],
         )
 
 
@@ -164,14 +175,14 @@
     """Nodes, each beside a target.
 
     Attributes:
-        pattern: The load.
-        time: The time of the run.
+        pattern: The load pattern.
+        time: The virtual time of the run.
         rng: Source of randomness.
-        without: Mechanisms that are switched off.
+        without: Names of the mechanisms that are switched off.
         nodes: The nodes.
         by_address: The nodes, by address.
-        targets: Their targets.
-        lines: The nodes' outgoing lines, by node.
+        targets: The nodes' targets.
+        uplinks: The nodes' outgoing network links, by node.
     """
 
     pattern: Pattern
@@ -181,28 +192,29 @@
     nodes: list[ModelNode] = attrs.field(factory=list)
     by_address: dict[str, ModelNode] = attrs.field(factory=dict)
     targets: list[ModelTarget] = attrs.field(factory=list)
-    lines: dict[str, _Line] = attrs.field(factory=dict)
+    uplinks: dict[str, _Uplink] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        places = [
+        positions = [
             (group, number)
             for group in self.pattern.groups
             for number in range(len(group.work_factors))
         ]
         entries = [
             _entry(group, number, port)
-            for port, (group, number) in enumerate(places, start=1)
+            for port, (group, number) in enumerate(positions, start=1)
         ]
         for entry in entries:
             self._add_node(entry, entries)
-        for group, number in places:
+        for group, number in positions:
             self._add_target(group, number)
 
     def _add_node(self, own: MemberEntry, entries: list[MemberEntry]) -> None:
         clock = VirtualClock(self.time)
         table = MemberTable(own)
         table.merge(entry for entry in entries if entry is not own)
-        # Only what the forwarder and the reports of crashes call.
+        # Implements only the methods that the forwarder and the crash reports
+        # call.
         links = cast(PeerLinks, _Links(self, own.node, own.data_centre))
         reports = CrashReports(table, links, clock)
         settings = RequestSettings(admission="by_deadline", slots=own.slots)
@@ -222,13 +234,14 @@
             or math.inf,
         )
         node = ModelNode(own.node, forwarder, owner)
-        self.lines[own.node] = _Line(self.pattern.link_bytes_per_s)
+        self.uplinks[own.node] = _Uplink(self.pattern.link_bytes_per_s)
         for name in self.without:
             MECHANISMS[name](node)
         admission = owner.admission_queue.admission
         assert isinstance(admission, DeadlineAdmission)
-        # Left to its own, it would spread the returns of refused callers
-        # differently in each run of the same seed.
+        # The admission's default source of randomness spreads the retries of
+        # refused callers. It is not seeded by the run, so two runs of one
+        # seed would differ.
         admission.rng = self.rng
         self.nodes.append(node)
         self.by_address[own.peer_address] = node
@@ -236,18 +249,20 @@
     def _budget(self) -> MeshRetryBudget:
         return MeshRetryBudget(
             _RETRY_RATIO,
-            _RETRY_SLACK,
+            _RETRY_SLACK_ATTEMPTS,
             _RETRY_WINDOW_MS,
             lambda: len(self.nodes),
         )
 
     def _add_target(self, group: TargetGroup, number: int) -> None:
-        node = self._beside(group, number)
+        node = self._node_beside(group, number)
 
         async def call(route: RouteLoad, deadline_s: float) -> bool:
             now_s = asyncio.get_running_loop().time()
-            left_ms = min(route.deadline_ms, (deadline_s - now_s) * _MS_PER_S)
-            reply = await self.send(node, route, left_ms)
+            remaining_ms = min(
+                route.deadline_ms, (deadline_s - now_s) * _MS_PER_S
+            )
+            reply = await self.send(node, route, remaining_ms)
             return is_success(reply)
 
         target = ModelTarget(self.pattern, group, number, self.rng, call)
@@ -256,17 +271,17 @@
         node.owner.pool = target  # type: ignore[assignment]
 
     async def send(
-        self, entry: ModelNode, route: RouteLoad, left_ms: float
+        self, entry: ModelNode, route: RouteLoad, remaining_ms: float
     ) -> ForwardReply:
-        """Sends a request in at a node.
+        """Sends a caller's request to a node.
 
         Args:
             entry: The node.
             route: The request's route.
-            left_ms: How long the caller waits from now on.
+            remaining_ms: Time left before the caller's deadline.
 
         Returns:
-            The target's answer or an error report.
+            The target's response or an error reply.
         """
         request = ForwardRequest(
             upstream=route.upstream,
@@ -274,13 +289,17 @@
             method="GET",
             target=route.name.encode(),
             body=bytes(route.body_bytes),
-            remaining_ms=int(min(left_ms, route.timeout_ms or left_ms)),
+            remaining_ms=int(
+                min(remaining_ms, route.timeout_ms or remaining_ms)
+            ),
             traffic_class="interactive",
             idempotent=route.idempotent,
             max_attempts=2,
             aim_ms=route.aim_ms,
             priority=route.priority,
-            spent_ms=entry.caller_timeouts.elapsed_ms(route.name, int(left_ms)),
+            spent_ms=entry.caller_timeouts.elapsed_ms(
+                route.name, int(remaining_ms)
+            ),
         )
         if request.remaining_ms <= 0:
             return error_reply(0, RequestError(ErrorKind.DEADLINE_NOT_RUN))
@@ -290,23 +309,23 @@
             return error_reply(0, error)
 
     async def run_departures(self) -> None:
-        """Lets targets leave and return as the pattern says."""
+        """Removes and returns targets as the pattern's faults say."""
         while True:
             for target in self.targets:
-                self._show(target)
-            await asyncio.sleep(_LEFT_CHECK_S)
+                self._update_membership(target)
+            await asyncio.sleep(_DEPARTURE_CHECK_INTERVAL_S)
 
-    def _beside(self, group: TargetGroup, number: int) -> ModelNode:
+    def _node_beside(self, group: TargetGroup, number: int) -> ModelNode:
         name = _node_name(group, number)
         return next(item for item in self.nodes if item.name == name)
 
-    def _show(self, target: ModelTarget) -> None:
-        node = self._beside(target.group, target.number)
-        gone = target.is_removed()
+    def _update_membership(self, target: ModelTarget) -> None:
+        node = self._node_beside(target.group, target.number)
+        removed = target.is_removed()
         own = node.forwarder.members.own
-        if gone == (own.upstream == ""):
+        if removed == (own.upstream == ""):
             return
-        upstream = "" if gone else target.group.upstream
+        upstream = "" if removed else target.group.upstream
         node.forwarder.members.update_own(upstream=upstream)
         for other in self.nodes:
             if other is not node:
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_outcomes.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of callers' requests in one run."""
+"""Outcomes of callers' requests in one run, and the best possible outcome."""
 
 import statistics
 
@@ -6,24 +6,26 @@
 
 from pomelobank_testing.experiment._patterns import Pattern, RouteLoad
 
-# Callers of a running service come before and after; the run's own first and
-# last moments would show neither.
-_MARGIN_S = 0.5
+# Requests that start within this time of the run's start or end are not
+# counted: a service in operation has load before and after, which the start
+# and the end of a run lack.
+_UNMEASURED_MARGIN_S = 0.5
 _MS_PER_S = 1000
 
 
 @attrs.define
 class RouteOutcome:
-    """What became of one route's requests.
+    """Outcomes of one route's requests.
 
     Attributes:
-        requests: Callers.
-        within_objective: Answered in time.
-        past_objective: Answered later.
-        refused: Refused to the end.
-        failed: Failed.
-        refusal_times_ms: How long each attempt that was refused had been held.
-        arrivals: Requests that reached a target.
+        requests: Callers' requests; all attempts of a caller count once.
+        within_objective: Requests answered within the latency objective.
+        past_objective: Requests answered after the latency objective.
+        refused: Requests whose last attempt was refused without having run.
+        failed: Requests that failed otherwise.
+        refusal_times_ms: Time from sending to refusal of each attempt after
+            which its caller tried again.
+        arrivals: Attempts that reached a target, inner calls included.
     """
 
     requests: int = 0
@@ -36,17 +38,17 @@
 
     @property
     def refusal_time_p95_ms(self) -> float:
-        """Time after which nearly all refusals were told."""
+        """95th percentile of the refusal times, in ms."""
         if len(self.refusal_times_ms) < 2:
             return max(self.refusal_times_ms, default=0.0)
         return statistics.quantiles(self.refusal_times_ms, n=20)[-1]
 
     def refused_after(self, time_ms: float) -> int:
-        """Returns how many refusals came later than a time."""
-        return sum(held_ms > time_ms for held_ms in self.refusal_times_ms)
+        """Returns how many refusals took longer than a time."""
+        return sum(refusal_ms > time_ms for refusal_ms in self.refusal_times_ms)
 
     def value(self, route: RouteLoad) -> float:
-        """Returns the worth of the answers."""
+        """Returns the total value of the responses."""
         return (
             self.within_objective * route.value
             + self.past_objective * route.late_value
@@ -55,10 +57,10 @@
 
 @attrs.define
 class Outcomes:
-    """What became of all requests of one run.
+    """Outcomes of all requests of one run.
 
     Attributes:
-        pattern: The load.
+        pattern: The load pattern.
         by_route: Outcomes by route.
     """
 
@@ -71,81 +73,102 @@
 
     @property
     def value_ratio(self) -> float:
-        """Part of the worth that callers asked for and got."""
+        """Value of the responses, as a fraction of the requests' value."""
         routes = [route for route in self.pattern.routes if route.per_s]
-        earned = sum(self.for_route(item.name).value(item) for item in routes)
-        owed = sum(
+        earned_value = sum(
+            self.for_route(item.name).value(item) for item in routes
+        )
+        requested_value = sum(
             self.for_route(item.name).requests * item.value for item in routes
         )
-        return earned / owed if owed else 0.0
+        return earned_value / requested_value if requested_value else 0.0
 
     def is_measured(self, at_s: float) -> bool:
-        """Tells whether a caller that came then is counted."""
-        return _MARGIN_S <= at_s <= self.pattern.duration_s - _MARGIN_S
+        """Tells whether a request that started at a time is counted."""
+        return (
+            _UNMEASURED_MARGIN_S
+            <= at_s
+            <= self.pattern.duration_s - _UNMEASURED_MARGIN_S
+        )
 
 
 def max_value_ratio(pattern: Pattern, at_s: float) -> float:
-    """Returns the part of the worth that the targets' room allows at most.
+    """Returns the upper bound of the value ratio from the targets' capacity.
 
-    Slots go to the routes with the most worth for their time, all answers in
-    time, no queue and no loss on the way. Calls to another upstream are taken
-    to wait for nothing; while they run, they hold their parent's slot.
+    The bound assumes that slots go to the routes with the most value per slot
+    time, that all responses are within their objective, and that no time is
+    lost in queues or on the network. Calls to another upstream are assumed to
+    start without a wait; while a call runs, its parent request holds a slot.
 
     Args:
-        pattern: The load.
-        at_s: Moment of the run.
+        pattern: The load pattern.
+        at_s: Time since the start of the run.
     """
-    times = 1.0
+    rate_factor = 1.0
     for burst in pattern.bursts:
         if burst.from_s <= at_s < burst.until_s:
-            times = burst.rate_factor
-    room = {
-        group.upstream: _slots(pattern, group.upstream, at_s)
+            rate_factor = burst.rate_factor
+    capacity = {
+        group.upstream: _effective_slots(pattern, group.upstream, at_s)
         for group in pattern.groups
     }
-    asked = [route for route in pattern.routes if route.per_s]
-    _take_calls(pattern, asked, times, room)
-    earned = 0.0
-    for route in sorted(asked, key=lambda r: r.value / r.work_ms, reverse=True):
-        needed = route.per_s * times * held_ms(pattern, route) / _MS_PER_S
-        served = min(1.0, max(0.0, room[route.upstream]) / needed)
-        room[route.upstream] -= served * needed
-        earned += served * route.per_s * times * route.value
-    return earned / sum(route.per_s * times * route.value for route in asked)
-
-
-def held_ms(pattern: Pattern, route: RouteLoad) -> float:
-    """Returns how long a request holds its slot, its calls included."""
+    loaded_routes = [route for route in pattern.routes if route.per_s]
+    _subtract_inner_calls(pattern, loaded_routes, rate_factor, capacity)
+    earned_value = 0.0
+    for route in sorted(
+        loaded_routes, key=lambda r: r.value / r.work_ms, reverse=True
+    ):
+        needed_slots = (
+            route.per_s * rate_factor * slot_time_ms(pattern, route) / _MS_PER_S
+        )
+        served_ratio = min(
+            1.0, max(0.0, capacity[route.upstream]) / needed_slots
+        )
+        capacity[route.upstream] -= served_ratio * needed_slots
+        earned_value += served_ratio * route.per_s * rate_factor * route.value
+    return earned_value / sum(
+        route.per_s * rate_factor * route.value for route in loaded_routes
+    )
+
+
+def slot_time_ms(pattern: Pattern, route: RouteLoad) -> float:
+    """Returns how long a request holds its slot, inner calls included."""
     if route.calls is None:
         return route.work_ms
     called = pattern.route(route.calls.route)
-    in_turn = 1 if route.calls.parallel else route.calls.count
-    return route.work_ms + route.calls.ratio * in_turn * called.work_ms
+    sequential_calls = 1 if route.calls.parallel else route.calls.count
+    return route.work_ms + route.calls.ratio * sequential_calls * called.work_ms
 
 
-def _slots(pattern: Pattern, upstream: str, at_s: float) -> float:
+def _effective_slots(pattern: Pattern, upstream: str, at_s: float) -> float:
     group = next(item for item in pattern.groups if item.upstream == upstream)
-    room = 0.0
-    for number, times in enumerate(group.work_factors):
-        for trouble in pattern.faults:
-            hit = trouble.upstream == upstream and number < trouble.target_count
-            if hit and trouble.from_s <= at_s < trouble.until_s:
-                times = (
-                    times * trouble.work_factor if not trouble.removed else 0.0
+    capacity = 0.0
+    for number, work_factor in enumerate(group.work_factors):
+        for fault in pattern.faults:
+            is_affected = (
+                fault.upstream == upstream and number < fault.target_count
+            )
+            if is_affected and fault.from_s <= at_s < fault.until_s:
+                work_factor = (
+                    work_factor * fault.work_factor
+                    if not fault.removed
+                    else 0.0
                 )
-        room += group.slots / times if times else 0.0
-    return room
+        capacity += group.slots / work_factor if work_factor else 0.0
+    return capacity
 
 
-def _take_calls(
+def _subtract_inner_calls(
     pattern: Pattern,
-    asked: list[RouteLoad],
-    times: float,
-    room: dict[str, float],
+    loaded_routes: list[RouteLoad],
+    rate_factor: float,
+    capacity: dict[str, float],
 ) -> None:
-    for route in asked:
+    for route in loaded_routes:
         if route.calls is None:
             continue
         called = pattern.route(route.calls.route)
-        per_s = route.per_s * times * route.calls.ratio * route.calls.count
-        room[called.upstream] -= per_s * called.work_ms / _MS_PER_S
+        per_s = (
+            route.per_s * rate_factor * route.calls.ratio * route.calls.count
+        )
+        capacity[called.upstream] -= per_s * called.work_ms / _MS_PER_S
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_patterns.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns: what callers ask for, and what goes wrong meanwhile."""
+"""Load patterns: callers' requests and the faults during a run."""
 
 import attrs
 from attrs import validators
@@ -10,9 +10,10 @@
 
     Attributes:
         route: Route of the calls.
-        count: Calls.
-        ratio: Part of the requests that make them.
-        parallel: Whether all are made at once; else one after the other.
+        count: Calls of one request.
+        ratio: Fraction of the requests that make calls.
+        parallel: Whether a request makes all its calls at once; otherwise the
+            calls are sequential.
     """
 
     route: str
@@ -27,20 +28,21 @@
 
     Attributes:
         name: The route.
-        upstream: Its upstream.
-        per_s: Requests a second from callers; 0 for calls of other work.
-        work_ms: Mean time at a target of usual speed, without its calls.
-        aim_ms: Time in which an answer is of full use.
+        upstream: The route's upstream.
+        per_s: Requests a second from callers; 0 for a route of inner calls.
+        work_ms: Mean service time at a target with a work factor of 1,
+            without inner calls.
+        aim_ms: Latency objective.
         deadline_ms: How long a caller waits, earlier attempts included.
         timeout_ms: How long one attempt may take; 0 for the deadline.
         body_bytes: Size of a request's body.
-        answer_bytes: Size of an answer.
-        priority: Rank; 0 is the most urgent.
-        value: Worth of an answer in time.
-        late_value: Worth of a later one.
-        idempotent: Whether it may run more than once.
-        max_retries: How often a caller comes back after a refusal.
-        calls: Calls that it makes while it runs.
+        answer_bytes: Size of a response's body.
+        priority: Priority; 0 is the most urgent.
+        value: Value of a response within the latency objective.
+        late_value: Value of a response after the latency objective.
+        idempotent: Whether a request may run more than once.
+        max_retries: How often a caller retries.
+        calls: Calls that a request makes while it runs.
     """
 
     name: str
@@ -65,9 +67,9 @@
     """The targets of one upstream.
 
     Attributes:
-        upstream: Their upstream.
-        work_factors: Time that each takes for work, next to the usual one.
-        slots: Requests that each runs at once.
+        upstream: The targets' upstream.
+        work_factors: Factor on the service time, for each target.
+        slots: Requests that each target runs at once.
     """
 
     upstream: str
@@ -77,16 +79,16 @@
 
 @attrs.frozen
 class Fault:
-    """What happens to targets during the run.
+    """A fault of some targets during a part of the run.
 
     Attributes:
-        upstream: Whose targets.
-        from_s: When it begins.
-        until_s: When it ends.
-        target_count: Number of targets that it hits; the first of the group.
-        work_factor: Factor on the time of their work.
-        shed_ratio: Part of their requests that they turn away unrun.
-        removed: Whether they have left the mesh.
+        upstream: Upstream of the affected targets.
+        from_s: Start of the fault, in seconds of the run.
+        until_s: End of the fault, in seconds of the run.
+        target_count: Number of affected targets, from the group's first.
+        work_factor: Further factor on the service time.
+        shed_ratio: Fraction of the requests that the targets refuse unrun.
+        removed: Whether the targets have left the mesh.
     """
 
     upstream: str
@@ -100,11 +102,11 @@
 
 @attrs.frozen
 class Burst:
-    """More callers of all routes for a while.
+    """A higher request rate of all routes during a part of the run.
 
     Attributes:
-        from_s: When it begins.
-        until_s: When it ends.
+        from_s: Start of the burst, in seconds of the run.
+        until_s: End of the burst, in seconds of the run.
         rate_factor: Factor on the requests a second.
     """
 
@@ -115,16 +117,17 @@
 
 @attrs.frozen
 class Pattern:
-    """One load to replay.
+    """One load pattern to replay.
 
     Attributes:
-        purpose: What it shows, in a sentence.
-        routes: What callers ask for.
-        groups: The targets.
-        faults: What goes wrong.
-        bursts: When more callers come.
-        duration_s: How long callers come.
-        link_bytes_per_s: Speed of each node's line, each way; 0 for no bound.
+        purpose: Short description of the load.
+        routes: The routes and their request rates.
+        groups: The targets, by upstream.
+        faults: Faults of targets.
+        bursts: Periods with a higher request rate.
+        duration_s: Time for which callers send requests.
+        link_bytes_per_s: Speed of each node's network link in each direction;
+            0 for an unlimited link.
     """
 
     purpose: str
@@ -136,12 +139,12 @@
     link_bytes_per_s: int = 0
 
     def route(self, name: str) -> RouteLoad:
-        """Returns a route by its name."""
+        """Returns the route of a name."""
         return next(item for item in self.routes if item.name == name)
 
 
-# A booking service beside a record service, each with a target that is slow
-# and one that is fast. Look-ups ask the record service while they run.
+# A booking service and a record service, each with one slow and one fast
+# target. Look-ups call the record service while they run.
 _LOOK_UP = RouteLoad(
     "look-up",
     "booking",
@@ -185,8 +188,9 @@
     TargetGroup("booking", (0.6, 1.0, 1.0, 1.4)),
     TargetGroup("records", (0.5, 1.0, 1.0, 1.5)),
 )
-# A desk and an order service that call others while they run, beside a ledger;
-# targets have few slots, and aims are several times the work.
+# A desk service that calls the order service while its requests run, and an
+# order service that calls the ledger. Targets have few slots, and latency
+# objectives are several times the service time.
 _STOCK = RouteLoad(
     "stock",
     "desk",
@@ -248,16 +252,16 @@
     max_retries=0,
 )
 _DETAIL = attrs.evolve(_STATUS, name="detail", upstream="ledger")
-_CALLING = (_STOCK, _REORDER, _REPORT, _LIST, _STATUS, _DETAIL)
-_FEW_SLOTS = (
+_CALLING_ROUTES = (_STOCK, _REORDER, _REPORT, _LIST, _STATUS, _DETAIL)
+_FEW_SLOT_GROUPS = (
     TargetGroup("desk", (0.6, 1.0, 1.4, 1.0, 1.0), slots=3),
     TargetGroup("orders", (0.5, 1.0, 1.0, 1.5) * 2 + (1.0,), slots=3),
     TargetGroup("ledger", (0.5, 1.0, 1.0, 1.5) * 4, slots=3),
 )
-_ALWAYS = 1_000.0
+_WHOLE_RUN_S = 1_000.0
 
 
-def _busier(factor: float) -> tuple[RouteLoad, ...]:
+def _scaled_routes(factor: float) -> tuple[RouteLoad, ...]:
     return tuple(
         attrs.evolve(route, per_s=route.per_s * factor) for route in _ROUTES
     )
@@ -266,10 +270,10 @@
 PATTERNS: dict[str, Pattern] = {
     "calm": Pattern("an ordinary load", _ROUTES, _GROUPS),
     "shortage": Pattern(
-        "half of one upstream's targets have left for good",
-        _busier(1.25),
+        "half of one upstream's targets have left the mesh",
+        _scaled_routes(1.25),
         _GROUPS,
-        faults=(Fault("booking", 0, _ALWAYS, 2, removed=True),),
+        faults=(Fault("booking", 0, _WHOLE_RUN_S, 2, removed=True),),
     ),
     "burst": Pattern(
         "twice as many callers for three seconds",
@@ -278,27 +282,28 @@
         bursts=(Burst(2.0, 5.0, 2.0),),
     ),
     "calls": Pattern(
-        "more work than fits, of which most calls other upstreams",
-        _CALLING,
-        _FEW_SLOTS,
+        "more work than the capacity; most of it calls other upstreams",
+        _CALLING_ROUTES,
+        _FEW_SLOT_GROUPS,
     ),
     "thin-lines": Pattern(
-        "the same on lines that a few bodies fill",
+        "the load of `calls` on network links that a few bodies fill",
         tuple(
             attrs.evolve(route, body_bytes=body, answer_bytes=answer)
             for route, body, answer in zip(
-                _CALLING,
+                _CALLING_ROUTES,
                 (0, 4000, 0, 0, 0, 0),
                 (1500, 5000, 1500, 400, 200, 200),
                 strict=True,
             )
         ),
-        _FEW_SLOTS,
-        # What callers, membership and configurations leave of 3.5 Mbit/s.
+        _FEW_SLOT_GROUPS,
+        # Bandwidth that remains of a link of 3.5 Mbit/s beside the traffic of
+        # callers, membership and configurations.
         link_bytes_per_s=350_000,
     ),
     "shedding": Pattern(
-        "targets turn half of their requests away unrun",
+        "targets refuse half of their requests unrun",
         _ROUTES,
         _GROUPS,
         faults=(Fault("records", 2.0, 6.0, 4, shed_ratio=0.5),),
--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/_target.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/_target.py
@@ -1,4 +1,4 @@
-"""A target: slots, speed, what it turns away, and calls that its work makes."""
+"""A model of a target: slots, service times, load shedding, inner calls."""
 
 import asyncio
 import random
@@ -16,24 +16,26 @@
 )
 
 _MS_PER_S = 1000
-# Spread of the work of one route around its mean.
-_SPREAD = 0.4
-_TURNED_AWAY_MS = 1.0
+# A request's service time is uniformly distributed around the route's mean, up
+# to this fraction of the mean above and below.
+_WORK_SPREAD_RATIO = 0.4
+# Time after which a target refuses a request that it sheds.
+_SHED_RESPONSE_MS = 1.0
 Call = Callable[[RouteLoad, float], Awaitable[bool]]
 
 
 @attrs.define(eq=False)
 class ModelTarget:
-    """Stands where a node has its connections to its target.
+    """Replaces a node's connections to its target.
 
     Attributes:
-        pattern: The load.
-        group: The targets that it belongs to.
-        number: Its number among them.
+        pattern: The load pattern.
+        group: The group of targets that this target belongs to.
+        number: The target's index in the group.
         rng: Source of randomness.
-        call: Makes a call through the mesh; tells whether it was answered.
-        busy: Requests that it runs.
-        arrivals: Requests that reached it, by route.
+        call: Makes a call through the mesh; tells whether the call succeeded.
+        slots: Limits the requests that run at once.
+        arrivals: Requests that reached the target, by route.
     """
 
     pattern: Pattern
@@ -53,14 +55,15 @@
         """Runs one request.
 
         Args:
-            data: Its bytes; the path names the route.
-            deadline_s: Loop time at which it is given up.
+            data: Bytes of the request; the path names the route.
+            deadline_s: Event loop time at which the request times out.
 
         Returns:
-            The answer: 200, or 500 where a call that it needs failed.
+            The response: 200, or 500 where an inner call failed.
 
         Raises:
-            RequestError: TARGET_REFUSED or DEADLINE_UNKNOWN.
+            RequestError: TARGET_REFUSED if the target sheds the request;
+                DEADLINE_UNKNOWN if the request times out.
         """
         route = self.pattern.route(data.split(b" ", 2)[1].decode())
         self.arrivals[route.name] = self.arrivals.get(route.name, 0) + 1
@@ -73,15 +76,19 @@
     async def _run(
         self, route: RouteLoad, deadline_s: float
     ) -> UpstreamResponse:
-        trouble = self._trouble()
-        if trouble and self.rng.random() < trouble.shed_ratio:
-            await asyncio.sleep(_TURNED_AWAY_MS / _MS_PER_S)
+        fault = self._current_fault()
+        if fault and self.rng.random() < fault.shed_ratio:
+            await asyncio.sleep(_SHED_RESPONSE_MS / _MS_PER_S)
             raise RequestError(ErrorKind.TARGET_REFUSED)
         async with self.slots:
-            times = self.group.work_factors[self.number]
-            times *= trouble.work_factor if trouble else 1.0
-            spread = self.rng.uniform(1 - _SPREAD, 1 + _SPREAD)
-            await asyncio.sleep(route.work_ms * times * spread / _MS_PER_S)
+            work_factor = self.group.work_factors[self.number]
+            work_factor *= fault.work_factor if fault else 1.0
+            spread = self.rng.uniform(
+                1 - _WORK_SPREAD_RATIO, 1 + _WORK_SPREAD_RATIO
+            )
+            await asyncio.sleep(
+                route.work_ms * work_factor * spread / _MS_PER_S
+            )
             if await self._calls_succeed(route, deadline_s):
                 return UpstreamResponse(200, [], b"")
         return UpstreamResponse(500, [], b"")
@@ -102,18 +109,22 @@
         return True
 
     def is_removed(self) -> bool:
-        """Tells whether it has left the mesh."""
-        trouble = self._trouble()
-        return trouble is not None and trouble.removed
+        """Tells whether the target has left the mesh."""
+        fault = self._current_fault()
+        return fault is not None and fault.removed
 
-    def _trouble(self) -> Fault | None:
+    def _current_fault(self) -> Fault | None:
         now_s = asyncio.get_running_loop().time()
-        for trouble in self.pattern.faults:
-            same = trouble.upstream == self.group.upstream
-            lasts = trouble.from_s <= now_s < trouble.until_s
-            if same and lasts and self.number < trouble.target_count:
-                return trouble
+        for fault in self.pattern.faults:
+            is_same_upstream = fault.upstream == self.group.upstream
+            is_active = fault.from_s <= now_s < fault.until_s
+            if (
+                is_same_upstream
+                and is_active
+                and self.number < fault.target_count
+            ):
+                return fault
         return None
 
     def close(self) -> None:
-        """Does nothing; there are no connections."""
+        """Does nothing, because the model has no connections."""
