--- a/packages/pomelobank-testing/src/pomelobank_testing/_chaos.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_chaos.py
@@ -1,7 +1,7 @@
-"""Mixed traffic and operators' changes while faults come one upon the other.
+"""Mixed traffic and operators' changes during a sequence of faults.
 
-A seed fixes which faults come and in which order; what must always hold is
-checked afterwards on every answer, run count, version and object.
+A seed fixes the faults and their order. After the faults, the tool checks the
+invariants on every response, run count, version and configuration object.
 """
 
 import argparse
@@ -27,26 +27,27 @@
 SERVICE = "replenish"
 UPSTREAM = "replenish-main"
 ROUTE_TIMEOUT_MS = 3000
-# A caller that hears nothing for so long was left without an answer.
-SILENCE_S = 20.0
-SETTLE_S = 60.0
-_FREEZE_S = 6.0
-_OUTAGE_S = 3.0
-_POLL_S = 0.1
+# A request without a response for this long counts as unanswered.
+RESPONSE_TIMEOUT_S = 20.0
+CONVERGENCE_TIMEOUT_S = 60.0
+_FREEZE_DURATION_S = 6.0
+_OUTAGE_DURATION_S = 3.0
+_POLL_INTERVAL_S = 0.1
 _OK = 200
 _NOT_RUN = "not-run"
 
 
 @attrs.define
 class SentRequest:
-    """One sending of a request and how it ended.
+    """One attempt of a request and its outcome.
 
     Attributes:
-        run_id: What the target counts.
+        run_id: Id by which the target counts the request's runs.
         method: HTTP method.
-        key: Idempotency key; empty without.
-        outcome: "answered", the error kind, or why there was none.
-        run: What the answer says about the run.
+        key: Idempotency key; empty for a request without a key.
+        outcome: "answered", the error kind, or the reason why the caller got
+            no response.
+        run: The response's statement about whether the request ran.
     """
 
     run_id: str
@@ -62,15 +63,15 @@
 
     Attributes:
         mesh: The mesh under test.
-        faults: Chooses the faults; nothing else draws from it, so that a seed
-            stands for one sequence of faults.
-        rng: Chooses traffic and changes.
-        down: Nodes that a fault holds down just now.
-        sent: Every sending so far.
-        changes: Verdict of every change, by change id.
-        problems: What did not hold.
-        versions: Highest version seen of each start of a node.
-        pace_s: Pause between two requests of one caller, in seconds.
+        faults: Source of randomness for the faults alone, so that a seed
+            always gives the same sequence of faults.
+        rng: Source of randomness for traffic and changes.
+        down: Nodes that a fault currently keeps stopped or frozen.
+        sent: Every attempt so far.
+        changes: Status of every change, by change id.
+        problems: Violated invariants.
+        versions: Highest version seen, by node and process id.
+        request_pause_s: Pause between two requests of one caller, in seconds.
     """
 
     mesh: TestMesh
@@ -81,10 +82,10 @@
     changes: dict[str, int] = attrs.field(factory=dict)
     problems: list[str] = attrs.field(factory=list)
     versions: dict[tuple[str, int], int] = attrs.field(factory=dict)
-    pace_s: float = 0.02
+    request_pause_s: float = 0.02
 
-    def _listening(self) -> list[str]:
-        """Returns the nodes whose addresses are known, frozen ones too."""
+    def _reachable_nodes(self) -> list[str]:
+        """Returns all nodes of known addresses, frozen nodes included."""
         return sorted(
             name for name, node in self.mesh.nodes.items() if node.addresses
         )
@@ -92,19 +93,19 @@
     # Traffic.
 
     async def call_forever(self, caller: int) -> None:
-        """Sends requests one after the other until it is cancelled."""
+        """Sends one request after the other until the task is cancelled."""
         while True:
             await self._call(caller)
-            await asyncio.sleep(self.pace_s)
+            await asyncio.sleep(self.request_pause_s)
 
     async def _call(self, caller: int) -> None:
         method = self.rng.choice(("GET", "POST", "POST"))
         run_id = f"{caller}-{uuid.uuid4().hex}"
         key = ""
-        sendings = 1
+        max_attempts = 1
         if method == "POST" and self.rng.random() < 1 / 2:
-            key, sendings = run_id, 3
-        for _ in range(sendings):
+            key, max_attempts = run_id, 3
+        for _ in range(max_attempts):
             sent = SentRequest(run_id, method, key)
             self.sent.append(sent)
             await self._send(sent)
@@ -112,26 +113,29 @@
                 return
 
     async def _send(self, sent: SentRequest) -> None:
-        entry = self.rng.choice(self._listening())
+        entry = self.rng.choice(self._reachable_nodes())
         headers = {"x-run-id": sent.run_id, "x-work-ms": "5"}
         if sent.key:
             headers["idempotency-key"] = sent.key
         try:
-            async with asyncio.timeout(SILENCE_S):
-                status, answered, body = await self.mesh.request(
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                status, response_headers, body = await self.mesh.request(
                     entry, SERVICE, "/reorders", sent.method, headers=headers
                 )
         except aiohttp.ClientError as error:
             sent.outcome = type(error).__name__
         except TimeoutError:
             sent.outcome = "silence"
-            # A frozen entry cannot answer; its own callers see the silence.
+            # A frozen entry cannot respond, so its callers time out.
             if entry not in self.down:
-                self.problems.append(f"no answer from {entry}: {sent}")
+                self.problems.append(
+                    f"no response from {entry}"
+                    f" within {RESPONSE_TIMEOUT_S:g} s: {sent}"
+                )
         else:
-            self._take_answer(sent, status, answered, body)
+            self._check_response(sent, status, response_headers, body)
 
-    def _take_answer(
+    def _check_response(
         self,
         sent: SentRequest,
         status: int,
@@ -141,31 +145,34 @@
         if status == _OK:
             sent.outcome = "answered"
             if json.loads(body).get("run_id") != sent.run_id:
-                self.problems.append(f"another's answer: {sent}, {body!r}")
+                self.problems.append(
+                    f"response to another request: {sent}, {body!r}"
+                )
             return
         sent.outcome = headers.get("x-pomelobank-error", f"status {status}")
         sent.run = headers.get("x-pomelobank-run", "")
         if sent.outcome == "no_route":
-            # The route was in force before the first request and stays.
-            self.problems.append(f"an accepted route was not known: {sent}")
+            # The route was in force before the first request, and no change
+            # removes the route.
+            self.problems.append(f"a node lost the accepted route: {sent}")
 
     # Operators.
 
     async def operate_forever(self) -> None:
-        """Lets two operators change the same route until it is cancelled."""
+        """Lets two operators change one route until the task is cancelled."""
         while True:
             await asyncio.gather(self._change("ann"), self._change("bob"))
             await asyncio.sleep(self.rng.uniform(0.1, 0.5))
 
     async def _change(self, author: str) -> None:
-        name = self.rng.choice(self._listening())
+        name = self.rng.choice(self._reachable_nodes())
         change_id = f"{author}-{uuid.uuid4().hex}"
         address = self.mesh.nodes[name].addresses["operator"]
         try:
             async with grpc.aio.insecure_channel(address) as channel:
                 stub = OperatorStub(channel)
                 config = await stub.GetConfig(pb.GetConfigRequest(), timeout=5)
-                request = self._edit(config, author, change_id)
+                request = self._change_request(config, author, change_id)
                 if request is None:
                     return
                 self.changes[change_id] = pb.CHANGE_UNKNOWN
@@ -174,7 +181,7 @@
             return
         self.changes[change_id] = reply.status
 
-    def _edit(
+    def _change_request(
         self, config: pb.GetConfigReply, author: str, change_id: str
     ) -> pb.ApplyRequest | None:
         routes = [item for item in config.objects if item.HasField("route")]
@@ -192,17 +199,17 @@
             change_id=change_id, author=author, operations=[operation]
         )
 
-    # Watching.
+    # Monitoring of versions.
 
     async def watch_forever(self) -> None:
-        """Notes every node's version until it is cancelled."""
+        """Checks every node's version until the task is cancelled."""
         while True:
-            for name in self._listening():
+            for name in self._reachable_nodes():
                 if name not in self.down:
-                    await self._watch(name)
-            await asyncio.sleep(_POLL_S)
+                    await self._check_version(name)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def _watch(self, name: str) -> None:
+    async def _check_version(self, name: str) -> None:
         node = self.mesh.nodes[name]
         try:
             async with grpc.aio.insecure_channel(
@@ -217,28 +224,28 @@
         before = self.versions.get(start, 0)
         if reply.version < before:
             self.problems.append(
-                f"{name} went back from version {before} to {reply.version}"
+                f"{name}: version fell from {before} to {reply.version}"
             )
         self.versions[start] = max(before, reply.version)
 
     # Faults.
 
     async def fault(self) -> str:
-        """Carries out the next fault of the seed; returns its name."""
+        """Injects the next fault of the seed; returns the fault's name."""
         choices: dict[str, Callable[[], Awaitable[None]]] = {
             "kill": self._kill_one,
             "herd": self._kill_half,
             "freeze": self._freeze,
             "stop": self._stop_one,
             "log outage": self._log_outage,
-            "lost append answers": self._lose_answers,
+            "lost append answers": self._lose_append_responses,
             "slow log": self._slow_log,
         }
         name = self.faults.choice(sorted(choices))
         await choices[name]()
         return name
 
-    def _pick(self) -> str:
+    def _pick_running_node(self) -> str:
         return self.faults.choice(sorted(set(self.mesh.nodes) - self.down))
 
     async def _restart(self, name: str) -> None:
@@ -247,7 +254,7 @@
         self.down.discard(name)
 
     async def _kill_one(self) -> None:
-        await self._kill([self._pick()])
+        await self._kill([self._pick_running_node()])
 
     async def _kill_half(self) -> None:
         up = sorted(set(self.mesh.nodes) - self.down)
@@ -259,43 +266,45 @@
         await asyncio.gather(*(self._restart(name) for name in names))
 
     async def _stop_one(self) -> None:
-        name = self._pick()
+        name = self._pick_running_node()
         self.down.add(name)
         status = await self.mesh.nodes[name].stop()
         if status:
-            self.problems.append(f"{name} ended with status {status}")
+            self.problems.append(
+                f"{name}: planned stop ended with exit status {status}"
+            )
         await self._restart(name)
 
     async def _freeze(self) -> None:
-        name = self._pick()
+        name = self._pick_running_node()
         self.down.add(name)
         self.mesh.nodes[name].signal(signal.SIGSTOP)
-        await asyncio.sleep(_FREEZE_S)
+        await asyncio.sleep(_FREEZE_DURATION_S)
         self.mesh.nodes[name].signal(signal.SIGCONT)
         self.down.discard(name)
 
     async def _log_outage(self) -> None:
         self.mesh.log.faults = LogFaults(outage=True)
-        await asyncio.sleep(_OUTAGE_S)
+        await asyncio.sleep(_OUTAGE_DURATION_S)
         self.mesh.log.faults = LogFaults()
 
-    async def _lose_answers(self) -> None:
+    async def _lose_append_responses(self) -> None:
         self.mesh.log.faults = LogFaults(lose_answers=5)
         await asyncio.sleep(1)
 
     async def _slow_log(self) -> None:
         self.mesh.log.faults = LogFaults(delay_ms=400)
-        await asyncio.sleep(_OUTAGE_S)
+        await asyncio.sleep(_OUTAGE_DURATION_S)
         self.mesh.log.faults = LogFaults()
 
-    # What must hold.
+    # Invariants.
 
     async def settle(self) -> None:
-        """Waits until every node has the same configuration again."""
+        """Waits until all nodes have the same configuration again."""
         self.mesh.log.faults = LogFaults()
-        async with asyncio.timeout(SETTLE_S):
+        async with asyncio.timeout(CONVERGENCE_TIMEOUT_S):
             while len(set(await self._configurations())) > 1:  # noqa: ASYNC110
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def _configurations(self) -> list[bytes]:
         found = []
@@ -309,7 +318,7 @@
         return found
 
     async def check_changes(self) -> None:
-        """Checks every verdict against each node's own."""
+        """Checks the status of every change against every node's audit."""
         for name in sorted(self.mesh.nodes):
             address = self.mesh.nodes[name].addresses["operator"]
             async with grpc.aio.insecure_channel(address) as channel:
@@ -325,29 +334,29 @@
     ) -> None:
         known = decided.get(change_id)
         if status == pb.CHANGE_ACCEPTED and known != pb.CHANGE_ACCEPTED:
-            self.problems.append(f"{name} lost accepted change {change_id}")
+            self.problems.append(f"{name} lost the accepted {change_id}")
         if status == pb.CHANGE_REJECTED and known == pb.CHANGE_ACCEPTED:
-            self.problems.append(f"{name} accepted rejected {change_id}")
+            self.problems.append(f"{name} accepted the rejected {change_id}")
 
     def check_runs(self) -> None:
-        """Checks how often each request ran against what was answered."""
+        """Checks each request's run count against its responses."""
         runs: Counter[str] = Counter()
         for target in self.mesh.targets.values():
             runs.update(target.service.runs)
-        sendings: dict[str, list[SentRequest]] = {}
+        attempts_by_id: dict[str, list[SentRequest]] = {}
         for sent in self.sent:
-            sendings.setdefault(sent.run_id, []).append(sent)
-        for run_id, tries in sendings.items():
-            self._check_request(tries, runs[run_id])
-
-    def _check_request(self, tries: list[SentRequest], runs: int) -> None:
-        if tries[0].method == "POST" and runs > 1:
-            self.problems.append(f"ran {runs} times: {tries}")
-        if runs and all(sent.run == _NOT_RUN for sent in tries):
-            self.problems.append(f"ran although not run was said: {tries}")
-        answered = any(sent.outcome == "answered" for sent in tries)
+            attempts_by_id.setdefault(sent.run_id, []).append(sent)
+        for run_id, attempts in attempts_by_id.items():
+            self._check_request(attempts, runs[run_id])
+
+    def _check_request(self, attempts: list[SentRequest], runs: int) -> None:
+        if attempts[0].method == "POST" and runs > 1:
+            self.problems.append(f"a POST ran {runs} times: {attempts}")
+        if runs and all(sent.run == _NOT_RUN for sent in attempts):
+            self.problems.append(f"reported as not run, but ran: {attempts}")
+        answered = any(sent.outcome == "answered" for sent in attempts)
         if answered and not runs:
-            self.problems.append(f"answered without a run: {tries}")
+            self.problems.append(f"answered, but never ran: {attempts}")
 
 
 def document() -> dict[str, object]:
@@ -374,10 +383,10 @@
         seed: Fixes the faults and their order.
         nodes: Number of nodes, each with a target.
         faults: Number of faults.
-        callers: Callers that send requests all the time.
+        callers: Callers that send requests during the whole run.
 
     Returns:
-        What was seen; its problems are empty where everything held.
+        The run; its list of problems is empty where all invariants held.
     """
     async with TestMesh() as mesh:
         names = [f"node-{index}" for index in range(nodes)]
@@ -414,7 +423,7 @@
         task.cancel()
     ended = await asyncio.gather(*background, return_exceptions=True)
     chaos.problems += [
-        f"a task failed: {item!r}"
+        f"a background task failed: {item!r}"
         for item in ended
         if not isinstance(item, asyncio.CancelledError)
     ]
@@ -424,7 +433,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs seeds; returns 1 where something did not hold."""
+    """Runs one seed; returns 1 where an invariant was violated."""
     parser = argparse.ArgumentParser(prog="chaos", description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--nodes", type=int, default=6)
@@ -436,7 +445,7 @@
     )
     answers = Counter(sent.outcome for sent in chaos.sent)
     verdicts = Counter(chaos.changes.values())
-    print(f"{len(chaos.sent)} sendings: {dict(answers.most_common())}")
+    print(f"{len(chaos.sent)} attempts: {dict(answers.most_common())}")
     print(f"{len(chaos.changes)} changes by status: {dict(verdicts)}")
     for problem in chaos.problems[:20]:
         print(f"problem: {problem}")
--- a/packages/pomelobank-testing/src/pomelobank_testing/_config_model.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_config_model.py
@@ -1,16 +1,16 @@
 """A small specification of the replicated configuration, to be model-checked.
 
-The model's steps call core's own functions, so that what is proved is proved
-of the code: `advance`, `adopt_snapshot`, `usable_snapshot`, `snapshot_record`
-and `MinServingVersion`. What stands around them is small: a log that may lose
-its answers and trims old records, and messages that arrive late, crossed or
-twice.
-
-A change may take effect at any time and more often than it was answered, and
-a snapshot stays in its writer's hands until it lands or for good. So a node
-that was paused with an append in its hands and continues at any later time is
-among the behaviours that are searched, as is an append whose answer was lost
-and that the operator sends again.
+The model's steps call core's own functions `advance`, `adopt_snapshot`,
+`usable_snapshot`, `snapshot_record` and `MinServingVersion`, so a checked
+property holds for the code and not only for the model. The environment is
+modelled: a log that may lose the responses to appends and trims old records,
+and messages that arrive late, out of order or twice.
+
+A change may take effect at any time and more often than the log acknowledged
+the change. A created snapshot stays pending until its append takes effect,
+which may never happen. The search therefore covers a node that is paused
+before an append and continues at any later time, and an append whose response
+was lost and that the operator repeats.
 """
 
 import functools
@@ -41,15 +41,15 @@
 
 @attrs.frozen
 class FunctionsUnderTest:
-    """The functions under test; a test replaces one to see the model fail.
+    """The functions under test; a test replaces one to make the model fail.
 
     Attributes:
-        advance: Takes a record.
-        adopt: Takes over a snapshot.
-        snapshot: Makes a snapshot.
+        advance: Applies a record to a state.
+        adopt: Replaces a state by a snapshot.
+        snapshot: Creates the snapshot of a state.
         ready: Tells whether a starting node may serve at a version.
-        announced: Whether the news of a version reaches the other node before
-            the node that has applied it can die.
+        announced: Whether the announcement of a version reaches the other
+            node before the node that has applied the version can crash.
     """
 
     advance: Callable[[ConfigState, int, ChangeRecord | None], ConfigState] = (
@@ -57,21 +57,21 @@
     )
     adopt: Callable[[ConfigState, SnapshotRecord], object] = adopt_snapshot
     snapshot: Callable[[ConfigState], SnapshotRecord] = snapshot_record
-    ready: Callable[[MinServingVersion, int], bool] = lambda floor, version: (
-        floor.update(version, 0)
+    ready: Callable[[MinServingVersion, int], bool] = (
+        lambda min_version, version: min_version.update(version, 0)
     )
     announced: bool = True
 
 
 @attrs.frozen
 class Bounds:
-    """How far the search goes.
+    """Upper bounds of the search.
 
     Attributes:
         sends: Appends of each change that take effect, by change id.
-        snapshots: Snapshots that nodes make.
+        snapshots: Snapshots that nodes create.
         restarts: Restarts of each node.
-        trims: Records that the log drops.
+        trims: Records that the log trims.
     """
 
     sends: Mapping[str, int]
@@ -82,10 +82,10 @@
 
 @attrs.frozen(eq=False)
 class State:
-    """A replayed state; equal ones are one object, so that search is quick.
+    """A replayed state; equal states share one object, so comparison is fast.
 
     Attributes:
-        key: All that matters of the state.
+        key: The parts of the state that decide equality.
         value: The state.
     """
 
@@ -94,7 +94,7 @@
 
     @classmethod
     def of(cls, value: ConfigState) -> "State":
-        """Wraps a state."""
+        """Returns the shared object of a state."""
         objects = frozenset(
             (str(key), item.revision, str(item.value))
             for key, item in value.snapshot.objects.items()
@@ -108,7 +108,7 @@
 
     @property
     def version(self) -> int:
-        """Version of the state."""
+        """Configuration version of the state."""
         return self.value.snapshot.version
 
     def __str__(self) -> str:
@@ -123,22 +123,23 @@
     """A node.
 
     Attributes:
-        state: What it has replayed.
-        heard: Highest version that it has heard of.
-        read_end: Whether it has read the log's end.
-        met_ready: Whether a peer that serves callers has told it something.
-        ready: Whether it serves callers.
-        served: Highest version by which it ever served, restarts included;
-            the node itself does not know it.
+        state: The state that the node has replayed.
+        max_known_version: Highest version that the node knows of.
+        has_read_log_end: Whether the node has read up to the log's end.
+        met_ready_peer: Whether the node has received a digest from a peer that
+            serves callers.
+        ready: Whether the node serves callers.
+        max_served_version: Highest version at which the node ever served,
+            restarts included; the node itself does not store this version.
         restarts: Restarts so far.
     """
 
     state: State = attrs.field(factory=lambda: State.of(ConfigState()))
-    heard: int = 0
-    read_end: bool = False
-    met_ready: bool = False
+    max_known_version: int = 0
+    has_read_log_end: bool = False
+    met_ready_peer: bool = False
     ready: bool = False
-    served: int = 0
+    max_served_version: int = 0
     restarts: int = 0
 
 
@@ -149,18 +150,19 @@
     Attributes:
         log: Every record ever appended: a change id, or a state's snapshot.
         first_kept: Offset of the oldest record that is kept.
-        held: Snapshots that their writers have not appended yet.
-        made: Number of snapshots made.
+        pending_snapshots: Snapshots that their writers have not appended yet.
+        snapshots_made: Number of snapshots created.
         nodes: The nodes.
-        went_back: Whether a node's version ever fell without a restart.
+        version_decreased: Whether a node's version ever decreased without a
+            restart.
     """
 
     log: tuple[str | State, ...] = ()
     first_kept: int = 0
-    held: tuple[State, ...] = ()
-    made: int = 0
+    pending_snapshots: tuple[State, ...] = ()
+    snapshots_made: int = 0
     nodes: tuple[Node, ...] = (Node(), Node())
-    went_back: bool = False
+    version_decreased: bool = False
 
 
 Step = tuple[str, ModelState]
@@ -169,12 +171,13 @@
 def service_change(
     change_id: str, expected_revision: int = -1, broken: bool = False
 ) -> ChangeRecord:
-    """Returns a change of the one service that the model has.
+    """Returns a change of the model's only service.
 
     Args:
         change_id: Id of the change, also the service's new description.
         expected_revision: Revision that the author saw; -1 for any.
-        broken: Whether the change ends with a route to a missing upstream.
+        broken: Whether the change's last operation writes a route to a
+            missing upstream, for which the change is rejected.
     """
     service = ServiceObject(name="s", description=change_id)
     operations = [
@@ -200,7 +203,7 @@
 
     Attributes:
         changes: The changes that operators send, by id.
-        bounds: How far the search goes.
+        bounds: Upper bounds of the search.
         functions: The functions under test.
     """
 
@@ -209,15 +212,15 @@
     functions: FunctionsUnderTest = attrs.field(factory=FunctionsUnderTest)
 
     def protocol(self) -> minicheck.Protocol:
-        """Returns the model in the checker's form."""
+        """Returns the model in the form that minicheck reads."""
         return minicheck.Protocol(
             name="configuration",
             candidate=False,
-            fields=("world",),
+            fields=("model_state",),
             initial=(ModelState(),),
             transitions=lambda state: [
-                (label, (_ordered(world),))
-                for label, world in self.steps(state[0])
+                (label, (_canonical(model_state),))
+                for label, model_state in self.steps(state[0])
             ],
             invariants={
                 name: functools.partial(_holds, check)
@@ -226,137 +229,181 @@
         )
 
     def invariants(self) -> dict[str, Callable[[ModelState], bool]]:
-        """Returns what must hold in every state."""
+        """Returns the conditions that must hold in every state, by name."""
         return {
-            "no_node_goes_back": lambda world: not world.went_back,
+            "no_node_goes_back": lambda model_state: (
+                not model_state.version_decreased
+            ),
             "no_restart_serves_older": _no_restart_serves_older,
             "references_hold": _references_hold,
-            "replay_is_as_specified": self._as_specified,
+            "replay_is_as_specified": self._matches_specification,
         }
 
-    def steps(self, world: ModelState) -> Iterator[Step]:
-        """Yields every step from a state."""
-        yield from self._appends(world)
-        yield from self._snapshots(world)
-        yield from self._trims(world)
-        for index in range(len(world.nodes)):
-            yield from self._reads(world, index)
-            yield from self._pushes(world, index)
-            yield from self._digests(world, index)
-            yield from self._restarts(world, index)
-
-    def _appends(self, world: ModelState) -> Iterator[Step]:
+    def steps(self, model_state: ModelState) -> Iterator[Step]:
+        """Yields the label and the result of every step from a state."""
+        yield from self._appends(model_state)
+        yield from self._snapshots(model_state)
+        yield from self._trims(model_state)
+        for index in range(len(model_state.nodes)):
+            yield from self._reads(model_state, index)
+            yield from self._pushes(model_state, index)
+            yield from self._digests(model_state, index)
+            yield from self._restarts(model_state, index)
+
+    def _appends(self, model_state: ModelState) -> Iterator[Step]:
         for change_id, limit in self.bounds.sends.items():
-            if world.log.count(change_id) < limit:
+            if model_state.log.count(change_id) < limit:
                 yield (
                     f"append of {change_id} takes effect",
-                    attrs.evolve(world, log=(*world.log, change_id)),
+                    attrs.evolve(
+                        model_state, log=(*model_state.log, change_id)
+                    ),
                 )
 
-    def _snapshots(self, world: ModelState) -> Iterator[Step]:
-        states = {node.state for node in world.nodes if node.ready}
-        if world.made < self.bounds.snapshots:
+    def _snapshots(self, model_state: ModelState) -> Iterator[Step]:
+        states = {node.state for node in model_state.nodes if node.ready}
+        if model_state.snapshots_made < self.bounds.snapshots:
             for state in sorted(states, key=str):
                 yield (
                     f"a snapshot of {state} is made",
                     attrs.evolve(
-                        world, held=(*world.held, state), made=world.made + 1
+                        model_state,
+                        pending_snapshots=(
+                            *model_state.pending_snapshots,
+                            state,
+                        ),
+                        snapshots_made=model_state.snapshots_made + 1,
                     ),
                 )
-        for place, state in enumerate(world.held):
-            held = world.held[:place] + world.held[place + 1 :]
+        for position, state in enumerate(model_state.pending_snapshots):
+            pending_snapshots = (
+                model_state.pending_snapshots[:position]
+                + model_state.pending_snapshots[position + 1 :]
+            )
             yield (
                 f"the snapshot of {state} is appended",
-                attrs.evolve(world, held=held, log=(*world.log, state)),
+                attrs.evolve(
+                    model_state,
+                    pending_snapshots=pending_snapshots,
+                    log=(*model_state.log, state),
+                ),
             )
 
-    def _trims(self, world: ModelState) -> Iterator[Step]:
-        if world.first_kept < min(len(world.log), self.bounds.trims):
-            yield "trim", attrs.evolve(world, first_kept=world.first_kept + 1)
+    def _trims(self, model_state: ModelState) -> Iterator[Step]:
+        if model_state.first_kept < min(
+            len(model_state.log), self.bounds.trims
+        ):
+            yield (
+                "trim",
+                attrs.evolve(
+                    model_state, first_kept=model_state.first_kept + 1
+                ),
+            )
 
-    def _reads(self, world: ModelState, index: int) -> Iterator[Step]:
-        node = world.nodes[index]
+    def _reads(self, model_state: ModelState, index: int) -> Iterator[Step]:
+        node = model_state.nodes[index]
         version = node.state.version
-        if version < world.first_kept:
-            state = self._recovered(world, node.state)
-        elif version < len(world.log):
-            state = self._advanced(node.state, version, world.log[version])
+        if version < model_state.first_kept:
+            state = self._recovered(model_state, node.state)
+        elif version < len(model_state.log):
+            state = self._advanced(
+                node.state, version, model_state.log[version]
+            )
         else:
             state = node.state
-        node = attrs.evolve(node, heard=max(node.heard, len(world.log)))
-        if state.version >= len(world.log):
-            node = attrs.evolve(node, read_end=True)
-        yield f"node {index} reads", self._move(world, index, node, state)
+        node = attrs.evolve(
+            node,
+            max_known_version=max(node.max_known_version, len(model_state.log)),
+        )
+        if state.version >= len(model_state.log):
+            node = attrs.evolve(node, has_read_log_end=True)
+        yield (
+            f"node {index} reads",
+            self._update_node(model_state, index, node, state),
+        )
 
-    def _recovered(self, world: ModelState, state: State) -> State:
-        kept = range(world.first_kept, len(world.log))
+    def _recovered(self, model_state: ModelState, state: State) -> State:
+        kept = range(model_state.first_kept, len(model_state.log))
         for offset in kept:
-            item = world.log[offset]
+            item = model_state.log[offset]
             if isinstance(item, str):
                 continue
             record = self._snapshot(item)
             found = usable_snapshot(
-                record, offset, world.first_kept, state.version
+                record, offset, model_state.first_kept, state.version
             )
             if found is not None:
                 return self._adopted(state, item)
         return state
 
-    def _pushes(self, world: ModelState, index: int) -> Iterator[Step]:
-        node = world.nodes[index]
-        newest = max(other.state.version for other in world.nodes)
+    def _pushes(self, model_state: ModelState, index: int) -> Iterator[Step]:
+        node = model_state.nodes[index]
+        newest = max(other.state.version for other in model_state.nodes)
         for offset in range(newest):
-            state = self._advanced(node.state, offset, world.log[offset])
+            state = self._advanced(node.state, offset, model_state.log[offset])
             if state != node.state:
                 yield (
                     f"push of {offset} reaches node {index}",
-                    self._move(world, index, node, state),
+                    self._update_node(model_state, index, node, state),
                 )
-        for item in dict.fromkeys((*world.held, *world.log)):
+        for item in dict.fromkeys(
+            (*model_state.pending_snapshots, *model_state.log)
+        ):
             if isinstance(item, State):
                 state = self._adopted(node.state, item)
                 yield (
                     f"snapshot of {item} reaches node {index}",
-                    self._move(world, index, node, state),
+                    self._update_node(model_state, index, node, state),
                 )
 
-    def _digests(self, world: ModelState, index: int) -> Iterator[Step]:
-        node = world.nodes[index]
+    def _digests(self, model_state: ModelState, index: int) -> Iterator[Step]:
+        node = model_state.nodes[index]
         if node.ready:
             return
-        for place, other in enumerate(world.nodes):
-            if place == index:
+        for other_index, other in enumerate(model_state.nodes):
+            if other_index == index:
                 continue
-            heard = max(other.heard, other.state.version)
-            told = attrs.evolve(
+            max_known_version = max(
+                other.max_known_version, other.state.version
+            )
+            updated = attrs.evolve(
                 node,
-                heard=max(node.heard, heard),
-                met_ready=node.met_ready or other.ready,
+                max_known_version=max(
+                    node.max_known_version, max_known_version
+                ),
+                met_ready_peer=node.met_ready_peer or other.ready,
             )
             yield (
-                f"digest of {place} reaches node {index}",
-                self._move(world, index, told, node.state),
+                f"digest of {other_index} reaches node {index}",
+                self._update_node(model_state, index, updated, node.state),
             )
 
-    def _restarts(self, world: ModelState, index: int) -> Iterator[Step]:
-        node = world.nodes[index]
+    def _restarts(self, model_state: ModelState, index: int) -> Iterator[Step]:
+        node = model_state.nodes[index]
         if node.restarts < self.bounds.restarts:
-            fresh = Node(served=node.served, restarts=node.restarts + 1)
-            yield f"node {index} restarts", _with(world, index, fresh)
+            fresh = Node(
+                max_served_version=node.max_served_version,
+                restarts=node.restarts + 1,
+            )
+            yield (
+                f"node {index} restarts",
+                _replace_node(model_state, index, fresh),
+            )
 
-    def _as_specified(self, world: ModelState) -> bool:
+    def _matches_specification(self, model_state: ModelState) -> bool:
         return all(
-            node.state.key == self._specified(world.log, node.state.version)
-            for node in world.nodes
+            node.state.key
+            == self._expected_key(model_state.log, node.state.version)
+            for node in model_state.nodes
         )
 
     @functools.cache  # noqa: B019 - the model lives as long as its check
-    def _specified(
+    def _expected_key(
         self, log: tuple[str | State, ...], version: int
     ) -> tuple[object, ...]:
-        # The outcome written down a second time, as simply as can be. It is a
-        # function of the log alone, and the log only grows: so nodes of equal
-        # version agree, a change counts once, and what was accepted stays.
+        # A second, minimal implementation of replay. The expected key depends
+        # on the log alone, and the log only grows. So nodes of equal version
+        # agree, a change counts once, and an accepted change stays accepted.
         service: tuple[str, int, str] | None = None
         verdicts: dict[str, tuple[str, int, bool]] = {}
         for offset, item in enumerate(log[:version]):
@@ -372,35 +419,41 @@
         objects = frozenset([service] if service else [])
         return version, objects, tuple(verdicts.values())
 
-    def _move(
-        self, world: ModelState, index: int, node: Node, state: State
+    def _update_node(
+        self, model_state: ModelState, index: int, node: Node, state: State
     ) -> ModelState:
-        older = state.version < node.state.version
-        heard = max(node.heard, state.version)
-        floor = MinServingVersion(
+        decreased = state.version < node.state.version
+        max_known_version = max(node.max_known_version, state.version)
+        min_version = MinServingVersion(
             settle_ms=0,
-            known_version=heard,
-            reached_log_end=node.read_end,
-            first_ready_ms=0 if node.met_ready else None,
+            known_version=max_known_version,
+            reached_log_end=node.has_read_log_end,
+            first_ready_ms=0 if node.met_ready_peer else None,
             ready=node.ready,
         )
-        ready = self.functions.ready(floor, state.version)
-        moved = Node(
+        ready = self.functions.ready(min_version, state.version)
+        updated = Node(
             state=state,
-            heard=heard,
-            read_end=node.read_end,
-            met_ready=node.met_ready,
+            max_known_version=max_known_version,
+            has_read_log_end=node.has_read_log_end,
+            met_ready_peer=node.met_ready_peer,
             ready=ready,
-            served=max(node.served, state.version) if ready else node.served,
+            max_served_version=max(node.max_served_version, state.version)
+            if ready
+            else node.max_served_version,
             restarts=node.restarts,
         )
-        told = heard if self.functions.announced else 0
+        announced_version = max_known_version if self.functions.announced else 0
         nodes = tuple(
-            moved if place == index else _hear(other, told)
-            for place, other in enumerate(world.nodes)
+            updated
+            if other_index == index
+            else _with_known_version(other, announced_version)
+            for other_index, other in enumerate(model_state.nodes)
         )
         return attrs.evolve(
-            world, nodes=nodes, went_back=world.went_back or older
+            model_state,
+            nodes=nodes,
+            version_decreased=model_state.version_decreased or decreased,
         )
 
     @functools.cache  # noqa: B019 - the model lives as long as its check
@@ -424,49 +477,54 @@
 def _holds(
     check: Callable[[ModelState], bool], fields: dict[str, ModelState]
 ) -> bool:
-    return check(fields["world"])
+    return check(fields["model_state"])
 
 
-def _ordered(world: ModelState) -> ModelState:
-    # The nodes are alike, so states that differ only in which node is which
-    # need to be searched once.
-    first, second = world.nodes
-    if _rank(first) <= _rank(second):
-        return world
-    return attrs.evolve(world, nodes=(second, first))
+def _canonical(model_state: ModelState) -> ModelState:
+    # Both nodes behave alike, so two states that differ only in the order of
+    # the nodes are searched once.
+    first, second = model_state.nodes
+    if _sort_key(first) <= _sort_key(second):
+        return model_state
+    return attrs.evolve(model_state, nodes=(second, first))
 
 
-def _rank(node: Node) -> tuple[int, ...]:
+def _sort_key(node: Node) -> tuple[int, ...]:
     return (
         node.state.version,
-        node.heard,
-        node.read_end,
-        node.met_ready,
+        node.max_known_version,
+        node.has_read_log_end,
+        node.met_ready_peer,
         node.ready,
-        node.served,
+        node.max_served_version,
         node.restarts,
     )
 
 
-def _with(world: ModelState, index: int, node: Node) -> ModelState:
-    nodes = list(world.nodes)
+def _replace_node(
+    model_state: ModelState, index: int, node: Node
+) -> ModelState:
+    nodes = list(model_state.nodes)
     nodes[index] = node
-    return attrs.evolve(world, nodes=tuple(nodes))
+    return attrs.evolve(model_state, nodes=tuple(nodes))
 
 
-def _hear(node: Node, version: int) -> Node:
-    if version <= node.heard:
+def _with_known_version(node: Node, version: int) -> Node:
+    if version <= node.max_known_version:
         return node
-    return attrs.evolve(node, heard=version)
+    return attrs.evolve(node, max_known_version=version)
 
 
-def _no_restart_serves_older(world: ModelState) -> bool:
+def _no_restart_serves_older(model_state: ModelState) -> bool:
     return all(
-        node.state.version >= node.served for node in world.nodes if node.ready
+        node.state.version >= node.max_served_version
+        for node in model_state.nodes
+        if node.ready
     )
 
 
-def _references_hold(world: ModelState) -> bool:
+def _references_hold(model_state: ModelState) -> bool:
     return not any(
-        check_objects(node.state.value.snapshot.objects) for node in world.nodes
+        check_objects(node.state.value.snapshot.objects)
+        for node in model_state.nodes
     )
--- a/packages/pomelobank-testing/src/pomelobank_testing/_config_watch.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_config_watch.py
@@ -1,4 +1,4 @@
-"""Watches nodes' configurations while a test makes things fail."""
+"""Monitors the nodes' configurations while a test injects faults."""
 
 import asyncio
 import uuid
@@ -12,23 +12,26 @@
 from pomelobank_schema.generated.operator_pb2_grpc import OperatorStub
 from pomelobank_testing._harness import TestMesh
 
-_POLL_S = 0.02
+_POLL_INTERVAL_S = 0.02
 _CALL_TIMEOUT_S = 1.0
-_WAIT_S = 20.0
+_WAIT_TIMEOUT_S = 20.0
 
 
 @attrs.define(eq=False)
 class ConfigWatch:
-    """Reads every node's configuration over and over.
+    """Polls every node's configuration.
 
-    Use it as an asynchronous context manager. At the end it fails the test
-    where a node's version went back or two nodes of one version differed.
+    The class is an asynchronous context manager. Its exit fails the test if a
+    node's version decreased, or if two nodes had different objects at one
+    version.
 
     Attributes:
         mesh: The mesh.
-        versions: Every version seen, by node process.
-        objects: What a version holds, by version.
-        problems: What went wrong.
+        versions: Every version seen, by process id of the node.
+        objects: Configuration objects, by version.
+        problems: Violations found so far.
+        channels: Channels to the nodes' operator interfaces.
+        task: The polling task.
     """
 
     mesh: TestMesh
@@ -39,7 +42,7 @@
     task: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> "ConfigWatch":
-        self.task = asyncio.create_task(self._run())
+        self.task = asyncio.create_task(self._sample_forever())
         return self
 
     async def __aexit__(self, kind: type | None, *_: object) -> None:
@@ -52,7 +55,7 @@
             assert self.problems == []
 
     def stub(self, node: str) -> OperatorStub:
-        """Returns the operators' calls of a node."""
+        """Returns the client of a node's operator interface."""
         address = self.mesh.nodes[node].addresses["operator"]
         if address not in self.channels:
             self.channels[address] = grpc.aio.insecure_channel(address)
@@ -76,14 +79,14 @@
         return reply
 
     async def change(self, node: str, change_id: str) -> pb.ApplyReply:
-        """Asks a node for a change."""
+        """Returns the status of a change, as a node knows it."""
         request = pb.ChangeRequest(change_id=change_id)
         reply = await self.stub(node).GetChange(request)
         assert isinstance(reply, pb.ApplyReply)
         return reply
 
     async def config(self, node: str) -> pb.GetConfigReply:
-        """Reads a node's configuration."""
+        """Returns a node's configuration."""
         reply = await self.stub(node).GetConfig(
             pb.GetConfigRequest(), timeout=_CALL_TIMEOUT_S
         )
@@ -93,46 +96,54 @@
     async def wait_all(
         self, version: int, nodes: Iterable[str] = ()
     ) -> pb.GetConfigReply:
-        """Waits until nodes have a version; returns what they agree on."""
-        found = None
+        """Waits until nodes have a version; returns the last node's config."""
+        last_config = None
         for node in nodes or list(self.mesh.nodes):
-            found = await self.wait_for(node, lambda v: v >= version)
-        assert found is not None
-        return found
+            last_config = await self.wait_for(node, lambda v: v >= version)
+        assert last_config is not None
+        return last_config
 
     async def wait_for(
         self, node: str, accept: Callable[[int], bool]
     ) -> pb.GetConfigReply:
-        """Waits until a node's version is as wanted."""
-        async with asyncio.timeout(_WAIT_S):
+        """Waits until a node has an accepted version; returns its config."""
+        async with asyncio.timeout(_WAIT_TIMEOUT_S):
             while True:
                 reply = await self.config(node)
                 if accept(reply.version):
                     return reply
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def _run(self) -> None:
+    async def _sample_forever(self) -> None:
         while True:
             for name, node in list(self.mesh.nodes.items()):
                 if node.ready.is_set() and node.process.returncode is None:
-                    await self._sample(name, node.process.pid)
-            await asyncio.sleep(_POLL_S)
+                    await self._sample_node(name, node.process.pid)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def _sample(self, name: str, process_id: int) -> None:
+    async def _sample_node(self, name: str, process_id: int) -> None:
         try:
             reply = await self.stub(name).GetConfig(
-                pb.GetConfigRequest(), timeout=_POLL_S * 5
+                pb.GetConfigRequest(), timeout=_POLL_INTERVAL_S * 5
             )
         except grpc.aio.AioRpcError:
-            # The node is dead or paused at the moment.
+            # The node has ended or is suspended at present.
             return
-        seen = self.versions.setdefault(process_id, [])
-        if seen and reply.version < seen[-1]:
-            self.problems.append(f"{name}: {seen[-1]}, then {reply.version}")
-        seen.append(reply.version)
-        known = self.objects.setdefault(reply.version, list(reply.objects))
-        if known != list(reply.objects):
-            self.problems.append(f"{name} differs at version {reply.version}")
+        seen_versions = self.versions.setdefault(process_id, [])
+        if seen_versions and reply.version < seen_versions[-1]:
+            self.problems.append(
+                f"{name}: version fell"
+                f" from {seen_versions[-1]} to {reply.version}"
+            )
+        seen_versions.append(reply.version)
+        expected_objects = self.objects.setdefault(
+            reply.version, list(reply.objects)
+        )
+        if expected_objects != list(reply.objects):
+            self.problems.append(
+                f"{name}: objects differ from another node's"
+                f" at version {reply.version}"
+            )
 
 
 def put_service(name: str, expected_revision: int = -1) -> pb.Operation:
@@ -157,7 +168,7 @@
     path_prefix: str = "/",
     expected_revision: int = -1,
 ) -> pb.Operation:
-    """Returns an operation that writes the service's one route."""
+    """Returns an operation that writes the service's only route."""
     route = pb.Route(
         name=service,
         service=service,
--- a/packages/pomelobank-testing/src/pomelobank_testing/_member_fleet.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_member_fleet.py
@@ -1,4 +1,4 @@
-"""Drives many core membership machines in memory, over a plain queue."""
+"""Runs many core membership instances in memory, over a queue of frames."""
 
 import random
 from collections import deque
@@ -13,7 +13,7 @@
     Swim,
     SwimAction,
 )
-from pomelobank_core import handle_frame as take_member_frame
+from pomelobank_core import handle_frame as handle_member_frame
 from pomelobank_schema import decode
 from pomelobank_schema.generated import peer
 from pomelobank_schema.generated.peer import MemberEntry
@@ -25,11 +25,11 @@
 
 @attrs.frozen
 class Envelope:
-    """A frame under way.
+    """A frame that is not delivered yet.
 
     Attributes:
-        source: Address that it comes from.
-        destination: Address that it goes to.
+        source: Address of the sender.
+        destination: Address of the receiver.
         data: The encoded frame.
     """
 
@@ -40,19 +40,21 @@
 
 @attrs.define(eq=False)
 class MemberFleet:
-    """Core machines that exchange frames without delay.
+    """Core membership instances that exchange frames without delay.
 
     Attributes:
         settings: Settings of every member.
         seed: Seed of all randomness.
         now_ms: Time of the whole fleet.
-        members: Machines by address.
-        frozen: Addresses of machines that stand still; their frames wait.
-        reachable: Tells whether a frame gets from one address to another.
+        members: Membership instances, by address.
+        frozen: Addresses of suspended members; frames to them stay queued.
+        reachable: Tells whether frames from one address reach another.
         sent_bytes: Bytes that each address sent.
         remote_bytes: Bytes sent between data centres.
         partners: Addresses that each address sent frames to.
-        frames: Frames that were delivered.
+        frames: Number of frames that were delivered.
+        data_centres: Data centres, by address.
+        queue: Frames that are not delivered yet.
     """
 
     settings: MembershipSettings = attrs.field(factory=MembershipSettings)
@@ -95,7 +97,7 @@
         )
 
     def add(self, entry: MemberEntry) -> Swim:
-        """Adds a member that knows nobody."""
+        """Adds a member that knows no other member."""
         source = random.Random(f"{self.seed}-{entry.node}-{entry.incarnation}")
         swim = Swim(MemberTable(entry), self.settings, source)
         self.members[entry.peer_address] = swim
@@ -105,45 +107,47 @@
         return swim
 
     def join(self, address: str, contact: str) -> None:
-        """Lets a member compare its table with another."""
+        """Sends a member's request to synchronise its table with a contact."""
         self.execute(
             address, address, [self.members[address].sync_request(contact)]
         )
 
     def remove(self, address: str) -> None:
-        """Ends a member without a word."""
+        """Removes a member without a message to the other members."""
         del self.members[address]
 
     def execute(
         self, address: str, reply_to: str, actions: list[SwimAction]
     ) -> None:
-        """Sends what a machine asks for."""
+        """Sends the frames of a member's actions."""
         for action in actions:
-            to = action.address if isinstance(action, SendFrame) else reply_to
+            destination = (
+                action.address if isinstance(action, SendFrame) else reply_to
+            )
             data = encode_frame(action.frame)
-            self._count(address, to, len(data))
-            self.queue.append(Envelope(address, to, data))
+            self._count_bytes(address, destination, len(data))
+            self.queue.append(Envelope(address, destination, data))
 
-    def _count(self, source: str, destination: str, size: int) -> None:
+    def _count_bytes(self, source: str, destination: str, size: int) -> None:
         self.sent_bytes[source] += size
         self.partners[source].add(destination)
         if self.data_centres[source] != self.data_centres[destination]:
             self.remote_bytes += size
 
     def step(self) -> None:
-        """Moves the time on, lets every member act and delivers all frames."""
+        """Advances the time, runs every member and delivers frames."""
         self.now_ms += TIME_STEP_MS
         for address, swim in list(self.members.items()):
             if address not in self.frozen:
                 self.execute(address, address, swim.tick(self.now_ms))
-        held = deque[Envelope]()
+        undelivered = deque[Envelope]()
         while self.queue:
             envelope = self.queue.popleft()
             if envelope.destination in self.frozen:
-                held.append(envelope)
+                undelivered.append(envelope)
             else:
                 self._deliver(envelope)
-        self.queue = held
+        self.queue = undelivered
 
     def _deliver(self, envelope: Envelope) -> None:
         swim = self.members.get(envelope.destination)
@@ -154,7 +158,7 @@
         self.frames += 1
         frame = decode(envelope.data, peer.KINDS)
         frame = unpack_frame(frame, peer.KINDS)
-        actions = take_member_frame(frame, swim, self.now_ms)
+        actions = handle_member_frame(frame, swim, self.now_ms)
         self.execute(envelope.destination, envelope.source, actions)
 
     def run(self, duration_ms: int) -> None:
@@ -166,20 +170,22 @@
         """Runs until a condition holds.
 
         Returns:
-            The time that it took.
+            The duration in fleet time, in ms.
 
         Raises:
-            TimeoutError: If it does not hold within the limit.
+            TimeoutError: If the condition does not hold within the limit.
         """
         start_ms = self.now_ms
         while not condition():
             if self.now_ms - start_ms >= limit_ms:
-                raise TimeoutError(f"not within {limit_ms} ms of fleet time")
+                raise TimeoutError(
+                    f"condition not met within {limit_ms} ms of fleet time"
+                )
             self.step()
         return self.now_ms - start_ms
 
     def all_see(self, node: str, *states: str) -> bool:
-        """Tells whether every running member holds a node in some state."""
+        """Tells whether all running members see a node in one of the states."""
         return all(
             (entry := swim.table.others.get(node)) is not None
             and entry.state in states
@@ -188,7 +194,7 @@
         )
 
     def all_ready(self) -> bool:
-        """Tells whether every member holds every running one to be ready."""
+        """Tells whether every running member sees every member as ready."""
         ready = MemberState.READY.value
         nodes = [swim.table.own.node for swim in self.members.values()]
         return all(self.all_see(node, ready) for node in nodes)
--- a/packages/pomelobank-testing/src/pomelobank_testing/_relay.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_relay.py
@@ -1,4 +1,4 @@
-"""Relays before nodes, so that tests can cut data centres off."""
+"""TCP relays in front of nodes, with which tests partition data centres."""
 
 import asyncio
 import contextlib
@@ -20,24 +20,28 @@
 )
 from pomelobank_testing._upstream_service import UpstreamService
 
-_READ_SIZE = 64 * 1024
-_POLL_S = 0.05
+_READ_SIZE_BYTES = 64 * 1024
+_POLL_INTERVAL_S = 0.05
 
 
 @attrs.define(eq=False)
 class TcpRelay:
-    """Passes streams on to one node, unless their source is cut off.
+    """Forwards streams to one node, unless their source is partitioned.
 
-    As on a real network, bytes to a node that is cut off are not lost out of
-    the middle of a stream: they wait, and arrive after the cut, if the sender
-    keeps the stream for so long.
+    As on a real network, bytes to a partitioned node are not lost from the
+    middle of a stream: the relay keeps the bytes, and delivers them after the
+    partition if the sender has kept the stream open.
 
     Attributes:
-        target: Address that streams are passed on to; empty refuses them.
+        target: Address that streams are forwarded to; if empty, the relay
+            closes new streams.
         address: Address that the relay listens on.
-        silent: Data centres whose bytes are held back without a word.
-        refused: Data centres whose streams are broken and refused.
-        changed: Replaced and set when one of these changes.
+        silent: Data centres whose bytes are held back while their streams stay
+            open.
+        refused: Data centres whose streams are closed and refused.
+        changed: Replaced and set when `silent` or `refused` changes.
+        server: The listening server.
+        tasks: The tasks of open streams.
     """
 
     target: str = ""
@@ -55,7 +59,7 @@
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Ends every stream."""
+        """Stops listening and closes every stream."""
         if self.server is not None:
             self.server.close()
         for task in list(self.tasks):
@@ -63,7 +67,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def set_partition(self, silent: set[str], refused: set[str]) -> None:
-        """Cuts data centres off, or heals the cut with empty sets."""
+        """Partitions data centres; empty sets end the partition."""
         self.silent, self.refused = silent, refused
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
@@ -85,19 +89,19 @@
     async def _relay(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        first = await reader.read(_READ_SIZE)
+        first = await reader.read(_READ_SIZE_BYTES)
         if not first or not self.target:
             return
         source = _data_centre(first)
-        await self._wait_open(source)
+        await self._wait_until_delivered(source)
         if source in self.refused:
             return
         host, port = parse_address(self.target)
-        onward_reader, onward_writer = await asyncio.open_connection(host, port)
-        onward_writer.write(first)
+        target_reader, target_writer = await asyncio.open_connection(host, port)
+        target_writer.write(first)
         copies = [
-            asyncio.create_task(self._copy(source, reader, onward_writer)),
-            asyncio.create_task(self._copy(source, onward_reader, writer)),
+            asyncio.create_task(self._copy(source, reader, target_writer)),
+            asyncio.create_task(self._copy(source, target_reader, writer)),
             asyncio.create_task(self._wait_refused(source)),
         ]
         try:
@@ -106,7 +110,7 @@
             for copy in copies:
                 copy.cancel()
             await asyncio.gather(*copies, return_exceptions=True)
-            onward_writer.close()
+            target_writer.close()
 
     async def _copy(
         self,
@@ -114,12 +118,12 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        while data := await reader.read(_READ_SIZE):
-            await self._wait_open(source)
+        while data := await reader.read(_READ_SIZE_BYTES):
+            await self._wait_until_delivered(source)
             writer.write(data)
             await writer.drain()
 
-    async def _wait_open(self, source: str) -> None:
+    async def _wait_until_delivered(self, source: str) -> None:
         while source in self.silent:
             await self.changed.wait()
 
@@ -129,7 +133,7 @@
 
 
 def _data_centre(data: bytes) -> str:
-    """Returns the data centre that a stream's first frame names."""
+    """Returns the data centre in a stream's first frame."""
     unpacker = msgpack.Unpacker()
     unpacker.feed(data)
     hello = decode_values(next(unpacker), peer.KINDS)
@@ -141,8 +145,8 @@
     """A mesh whose nodes reach each other through relays.
 
     Attributes:
-        relays: Relays by the node behind them.
-        places: Data centres by node.
+        relays: Relays, by the node that each forwards to.
+        places: Data centres, by node.
     """
 
     __test__ = False
@@ -169,7 +173,7 @@
         data_centre: str,
         service: UpstreamService | None = None,
     ) -> NodeProcess:
-        """Starts a node behind its relay."""
+        """Starts a node and its relay."""
         if name not in self.relays:
             self.relays[name] = TcpRelay()
             await self.relays[name].start()
@@ -189,12 +193,12 @@
         return node
 
     def partition(self, data_centre: str, silent: bool) -> None:
-        """Cuts a data centre off from all others.
+        """Partitions a data centre from all other data centres.
 
         Args:
             data_centre: The data centre.
-            silent: Whether bytes just do not arrive; otherwise streams break
-                and new ones are refused.
+            silent: Whether bytes are held back while streams stay open;
+                otherwise streams are closed and new streams are refused.
         """
         others = set(self.places.values()) - {data_centre}
         for name, relay in self.relays.items():
@@ -205,7 +209,7 @@
             )
 
     def heal(self) -> None:
-        """Ends every cut."""
+        """Ends every partition."""
         for relay in self.relays.values():
             relay.set_partition(set(), set())
 
@@ -228,20 +232,23 @@
 
     Args:
         mesh: The mesh.
-        watchers: Nodes that must see it.
-        expected: States by member; other members do not matter.
-        timeout_s: Longest wait.
+        watchers: Nodes that must see the states.
+        expected: States by member; other members are not compared.
+        timeout_s: Maximum wait for each node.
 
     Raises:
-        TimeoutError: If a node does not see it in time.
+        TimeoutError: If a node does not see the states within the wait.
     """
     for watcher in watchers:
-        seen: dict[str, str] = {}
+        states: dict[str, str] = {}
         try:
             async with asyncio.timeout(timeout_s):
-                while not expected.items() <= seen.items():
-                    await asyncio.sleep(_POLL_S)
+                while not expected.items() <= states.items():
+                    await asyncio.sleep(_POLL_INTERVAL_S)
                     with contextlib.suppress(grpc.aio.AioRpcError):
-                        seen = await member_states(mesh, watcher)
+                        states = await member_states(mesh, watcher)
         except TimeoutError:
-            raise TimeoutError(f"{watcher} sees {seen}") from None
+            raise TimeoutError(
+                f"{watcher} sees {states} after {timeout_s:g} s;"
+                f" expected {expected}"
+            ) from None
--- a/packages/pomelobank-testing/src/pomelobank_testing/_traffic.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_traffic.py
@@ -1,4 +1,4 @@
-"""Mixed traffic of which every request is accounted for afterwards."""
+"""Mixed traffic with a check of every request's outcome and run count."""
 
 import asyncio
 import json
@@ -13,22 +13,22 @@
 
 _OK = 200
 _NOT_RUN = "not-run"
-_PATIENCE_S = 20.0
+_TIMEOUT_S = 20.0
 
 
 @attrs.frozen
 class SentRequest:
-    """One request and how it ended for its caller.
+    """One request and its outcome for the caller.
 
     Attributes:
-        run_id: Its own id, which targets count.
-        entry: Node that it was sent to.
+        run_id: Unique id by which targets count the request's runs.
+        entry: Node that the request was sent to.
         method: HTTP method.
-        body_bytes: Size of its body.
-        status: HTTP status; 0 where the caller got no whole answer.
-        error: The system's error kind, empty for a target's answer.
-        run: What the system says about whether it ran.
-        problem: What is wrong with the answer, empty where nothing is.
+        body_bytes: Size of the request's body.
+        status: HTTP status; 0 if the caller got no complete response.
+        error: The system's error kind; empty for a target's response.
+        run: The response's statement about whether the request ran.
+        problem: Fault of the response; empty for a correct response.
     """
 
     run_id: str
@@ -46,15 +46,19 @@
     """Callers that send one request after the other.
 
     Attributes:
-        mesh: Where to.
-        service: Service that is addressed.
+        mesh: The mesh that receives the requests.
+        service: Service that the requests address.
         path: Path of the requests.
         entries: Nodes that callers use.
         callers: Number of callers.
-        max_work_ms: Longest work of a request.
+        max_work_ms: Maximum service time of a request.
         rng: Source of randomness.
         sent: Requests that have ended.
-        in_flight: Requests that have not.
+        in_flight: Number of requests that have not ended.
+        tasks: The callers' tasks.
+        ended: Set whenever a request ends.
+        stopping: Whether callers stop after their present request.
+        numbers: Number of requests so far.
     """
 
     mesh: TestMesh
@@ -74,37 +78,37 @@
     def start(self) -> None:
         """Starts every caller."""
         self.tasks = [
-            asyncio.create_task(self._call_on(index))
+            asyncio.create_task(self._run_caller(index))
             for index in range(self.callers)
         ]
 
     async def stop(self) -> None:
-        """Lets every caller finish its request."""
+        """Stops all callers after their present requests."""
         self.stopping = True
         await asyncio.gather(*self.tasks)
 
     async def wait_for(self, count: int, entries: Iterable[str] = ()) -> None:
-        """Waits until so many further requests were answered by a target.
+        """Waits until targets have answered a number of further requests.
 
         Args:
-            count: How many.
-            entries: Count only requests sent to these nodes; all by default.
+            count: Number of requests.
+            entries: Nodes whose requests count; all nodes by default.
         """
-        wanted = set(entries) or set(self.entries)
-        begin = len(self.sent)
-        async with asyncio.timeout(_PATIENCE_S):
+        counted_entries = set(entries) or set(self.entries)
+        first_new = len(self.sent)
+        async with asyncio.timeout(_TIMEOUT_S):
             while True:
                 answered = [
                     item
-                    for item in self.sent[begin:]
-                    if item.status == _OK and item.entry in wanted
+                    for item in self.sent[first_new:]
+                    if item.status == _OK and item.entry in counted_entries
                 ]
                 if len(answered) >= count:
                     return
                 self.ended.clear()
                 await self.ended.wait()
 
-    async def _call_on(self, index: int) -> None:
+    async def _run_caller(self, index: int) -> None:
         entry = self.entries[index % len(self.entries)]
         while not self.stopping:
             self.in_flight += 1
@@ -113,7 +117,7 @@
             self.sent.append(outcome)
             self.ended.set()
             if outcome.status != _OK:
-                # A caller that was refused does not come back at once.
+                # A refused caller pauses before its next request.
                 await asyncio.sleep(0.02)
 
     async def _call(self, entry: str) -> SentRequest:
@@ -132,7 +136,7 @@
         if request.method == "POST":
             arguments["data"] = bytes(request.body_bytes)
         try:
-            async with asyncio.timeout(_PATIENCE_S):
+            async with asyncio.timeout(_TIMEOUT_S):
                 status, received, body = await self.mesh.request(
                     entry,
                     self.service,
@@ -144,11 +148,11 @@
         except aiohttp.ClientError:
             return attrs.evolve(request, problem="no answer")
         except TimeoutError:
-            return attrs.evolve(request, problem="silence")
-        return _judge(request, status, received, body)
+            return attrs.evolve(request, problem="timeout")
+        return _check_response(request, status, received, body)
 
 
-def _judge(
+def _check_response(
     request: SentRequest, status: int, headers: Mapping[str, str], body: bytes
 ) -> SentRequest:
     error = headers.get("x-pomelobank-error", "")
@@ -158,11 +162,11 @@
     if status == _OK:
         expected = request.body_bytes if request.method == "POST" else 0
         if document["run_id"] != request.run_id:
-            problem = "an answer to another request"
+            problem = "response to another request"
         elif document["body_bytes"] != expected:
-            problem = "the target got another body"
+            problem = "the target received a body of another size"
     elif error and (document["error"], document["run"]) != (error, run):
-        problem = "headers and body of the error differ"
+        problem = "the error's headers and body disagree"
     return attrs.evolve(
         request, status=status, error=error, run=run, problem=problem
     )
@@ -173,38 +177,38 @@
     runs: Counter[str],
     lost_entries: Iterable[str] = (),
 ) -> list[str]:
-    """Returns every promise that was broken, empty where all were kept.
+    """Returns every violated guarantee; empty if all guarantees held.
 
     Args:
         sent: All requests that ended.
-        runs: How often each id ran on all targets together.
-        lost_entries: Nodes that were killed while callers used them; only
-            there may a connection end without an answer.
+        runs: Number of runs of each id on all targets together.
+        lost_entries: Nodes that were stopped or killed while callers used
+            them; only at these nodes may a request end without a response.
 
     Returns:
-        One line for each fault.
+        One line for each violation.
     """
-    lost = set(lost_entries)
+    unreachable_entries = set(lost_entries)
     faults = []
     for item in sent:
         count = runs[item.run_id]
         if item.problem and not (
-            item.problem == "no answer" and item.entry in lost
+            item.problem == "no answer" and item.entry in unreachable_entries
         ):
             faults.append(f"{item}: {item.problem}")
         if item.method == "POST" and count > 1:
-            faults.append(f"{item}: ran {count} times")
+            faults.append(f"{item}: a POST ran {count} times")
         if item.run == _NOT_RUN and count:
-            faults.append(f"{item}: said not run and ran")
+            faults.append(f"{item}: reported as not run, but ran")
         if item.status == _OK and not count:
-            faults.append(f"{item}: answered and never ran")
+            faults.append(f"{item}: answered, but never ran")
         if item.status not in (_OK, 0) and not item.error and count:
-            faults.append(f"{item}: refused by the target and ran")
+            faults.append(f"{item}: refused by the target, but ran")
     return faults
 
 
 def count_runs(mesh: TestMesh) -> Counter[str]:
-    """Returns how often each id ran on all targets together."""
+    """Returns the number of runs of each id on all targets together."""
     total: Counter[str] = Counter()
     for target in mesh.targets.values():
         total.update(target.service.runs)
