--- a/packages/pomelobank-testing/src/pomelobank_testing/__main__.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/__main__.py
@@ -1,10 +1,13 @@
-"""Tools for trying and measuring: `python -m pomelobank_testing demo`."""
+"""Runs demonstration and measurement tools by name.
+
+Usage: `python -m pomelobank_testing TOOL`, for instance with the tool `demo`.
+"""
 
 import importlib
 import sys
 
-# Each tool's module, which has a `main` that takes the arguments.
-_TOOLS = {
+# The module of each tool. Its function `main` gets the tool's arguments.
+_MODULES = {
     "chaos": "_chaos",
     "claim-cost": "_claim_cost",
     "convergence": "_convergence",
@@ -24,12 +27,14 @@
 
 
 def main() -> int:
-    """Runs one tool; returns its exit status."""
+    """Runs one tool; returns the tool's exit status."""
     name = sys.argv[1] if len(sys.argv) > 1 else ""
-    if name not in _TOOLS:
-        print(f"usage: python -m pomelobank_testing {{{','.join(_TOOLS)}}} ...")
+    if name not in _MODULES:
+        print(
+            f"usage: python -m pomelobank_testing {{{','.join(_MODULES)}}} ..."
+        )
         return 2
-    module = importlib.import_module(f"pomelobank_testing.{_TOOLS[name]}")
+    module = importlib.import_module(f"pomelobank_testing.{_MODULES[name]}")
     return int(module.main(sys.argv[2:]))
 
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/_claim_cost.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_claim_cost.py
@@ -1,10 +1,11 @@
-"""Measures what idempotency keys cost: `... pomelobank_testing claim-cost`.
-
-At each rate, requests without a key and requests with one take turns in the
-same run; a few requests without a key also run beside those with one, to show
-whether they suffer. The log's appends and reads are counted per kind of
-stream. Log, targets and load share one process, so that the latencies include
-what that process is slowed down by its own load.
+"""Measures the cost of idempotency keys.
+
+Usage: `python -m pomelobank_testing claim-cost`. At each rate, requests without
+a key and requests with a key alternate in one run. A low rate of requests
+without a key also runs beside the requests with a key, to show whether the
+claims slow down other requests. Appends and reads of the claims' streams are
+counted. Log, targets and callers share one process, so the latencies include
+the delay that this process's own load causes.
 """
 
 import argparse
@@ -28,11 +29,11 @@
 from pomelobank_testing._process_usage import processor_us
 from pomelobank_testing._upstream_service import UpstreamService
 
-_HIGHEST_US = 60_000_000
+_MAX_LATENCY_US = 60_000_000
 _US_PER_S = 1_000_000
 _US_PER_MS = 1000
 _SERVICE = "replenish"
-_BESIDE_RATE = 50
+_CONTROL_RATE_PER_S = 50
 _WARM_UP_REQUESTS = 64
 _SLOTS = 200
 _CLAIMS_PREFIX = "claims-"
@@ -54,23 +55,23 @@
 
 @attrs.define(eq=False)
 class CountingLog(LogService):
-    """A log that counts the traffic of the claims' streams.
+    """A log service that counts the traffic of the claims' streams.
 
     Attributes:
-        counts: Appends, reads and bytes of claims' streams.
+        counts: Number and bytes of appends and reads of claims' streams.
     """
 
     counts: Counter[str] = attrs.field(factory=Counter)
 
     async def append(self, request: Request) -> Response:
-        """Counts and appends."""
+        """Counts and performs an append."""
         if request.path_params["name"].startswith(_CLAIMS_PREFIX):
             self.counts["appends"] += 1
             self.counts["appended_bytes"] += len(await request.body())
         return await super().append(request)
 
     async def read(self, request: Request) -> Response:
-        """Reads and counts."""
+        """Performs and counts a read."""
         response = await super().read(request)
         if request.path_params["name"].startswith(_CLAIMS_PREFIX):
             self.counts["reads"] += 1
@@ -83,35 +84,35 @@
     """Requests of one kind, sent at a fixed rate.
 
     Attributes:
-        keyed: Whether each has a key of its own.
+        keyed: Whether each request has an idempotency key of its own.
         rate: Requests per second.
-        histogram: Latencies in microseconds, from the time of sending that
-            the rate asks for.
-        answers: Answers by status or error kind.
+        histogram: Latencies in microseconds, from the time at which the rate
+            scheduled the request.
+        answers: Number of responses, by status or error kind.
     """
 
     keyed: bool
     rate: int
     histogram: HdrHistogram = attrs.field(
-        factory=lambda: HdrHistogram(1, _HIGHEST_US, 3)
+        factory=lambda: HdrHistogram(1, _MAX_LATENCY_US, 3)
     )
     answers: Counter[str] = attrs.field(factory=Counter)
 
     async def run(
         self, mesh: TestMesh, numbers: Iterator[int], seconds: float
     ) -> None:
-        """Sends the requests and waits for every answer."""
-        begin = time.perf_counter()
+        """Sends the requests and waits for every response."""
+        start_s = time.perf_counter()
         async with asyncio.TaskGroup() as group:
             for index in range(int(self.rate * seconds)):
-                due = begin + index / self.rate
-                await asyncio.sleep(max(0.0, due - time.perf_counter()))
-                group.create_task(self._send(mesh, next(numbers), due))
+                due_s = start_s + index / self.rate
+                await asyncio.sleep(max(0.0, due_s - time.perf_counter()))
+                group.create_task(self._send(mesh, next(numbers), due_s))
 
-    async def _send(self, mesh: TestMesh, number: int, due: float) -> None:
+    async def _send(self, mesh: TestMesh, number: int, due_s: float) -> None:
         names = list(mesh.nodes)
         headers = {"idempotency-key": f"order-{number}"} if self.keyed else {}
-        status, found, _ = await mesh.request(
+        status, response_headers, _ = await mesh.request(
             names[number % len(names)],
             _SERVICE,
             "/reorders",
@@ -119,17 +120,19 @@
             headers=headers,
             data=b"3 lipsticks",
         )
-        took = int((time.perf_counter() - due) * _US_PER_S)
-        self.histogram.record_value(max(1, min(took, _HIGHEST_US)))
-        self.answers[found.get("x-pomelobank-error", str(status))] += 1
+        latency_us = int((time.perf_counter() - due_s) * _US_PER_S)
+        self.histogram.record_value(max(1, min(latency_us, _MAX_LATENCY_US)))
+        self.answers[
+            response_headers.get("x-pomelobank-error", str(status))
+        ] += 1
 
     @property
-    def sent(self) -> int:
-        """Requests that were answered."""
+    def answered(self) -> int:
+        """Number of requests that were answered."""
         return sum(self.answers.values())
 
     def summary(self) -> dict[str, Any]:
-        """Returns the figures of this phase."""
+        """Returns the results of this phase."""
         return {
             "rate": self.rate,
             "answers": dict(self.answers),
@@ -137,8 +140,8 @@
             "p99_ms": self._percentile_ms(99),
         }
 
-    def _percentile_ms(self, point: float) -> float:
-        value: int = self.histogram.get_value_at_percentile(point)
+    def _percentile_ms(self, percentile: float) -> float:
+        value: int = self.histogram.get_value_at_percentile(percentile)
         return round(value / _US_PER_MS, 2)
 
 
@@ -179,18 +182,18 @@
     log = CountingLog()
     numbers = itertools.count()
     async with TestMesh(log=log) as mesh:
-        await _start(mesh, nodes)
-        # Warms the connections and makes every shard's reader begin.
+        await _start_mesh(mesh, nodes)
+        # Opens the connections, and starts the reader of every claims shard.
         for keyed in (False, True):
             phase = Phase(keyed, _WARM_UP_REQUESTS)
             await phase.run(mesh, numbers, 1.0)
         return [
-            await _level(mesh, log, numbers, int(rate), options.seconds)
+            await _measure_level(mesh, log, numbers, int(rate), options.seconds)
             for rate in options.rates.split(",")
         ]
 
 
-async def _start(mesh: TestMesh, nodes: int) -> None:
+async def _start_mesh(mesh: TestMesh, nodes: int) -> None:
     await asyncio.gather(
         *(
             mesh.add_node(
@@ -206,56 +209,65 @@
     await mesh.wait_version("node-0", 1)
 
 
-async def _level(
+async def _measure_level(
     mesh: TestMesh,
     log: CountingLog,
     numbers: Iterator[int],
     rate: int,
     seconds: float,
 ) -> dict[str, Any]:
-    plain = Phase(False, rate)
+    unkeyed = Phase(False, rate)
     before = Counter(log.counts)
-    used_us = _processor_us(mesh)
-    await plain.run(mesh, numbers, seconds)
-    plain_us = (_processor_us(mesh) - used_us) / plain.sent
-    during_plain = log.counts - before
-    alone = Phase(False, _BESIDE_RATE)
-    await alone.run(mesh, numbers, seconds)
-    keyed, beside = Phase(True, rate), Phase(False, _BESIDE_RATE)
+    used_processor_us = _nodes_processor_us(mesh)
+    await unkeyed.run(mesh, numbers, seconds)
+    unkeyed_us = (
+        _nodes_processor_us(mesh) - used_processor_us
+    ) / unkeyed.answered
+    during_unkeyed = log.counts - before
+    unkeyed_alone = Phase(False, _CONTROL_RATE_PER_S)
+    await unkeyed_alone.run(mesh, numbers, seconds)
+    keyed, unkeyed_beside_keyed = (
+        Phase(True, rate),
+        Phase(False, _CONTROL_RATE_PER_S),
+    )
     before = Counter(log.counts)
-    begin = time.perf_counter()
-    used_us = _processor_us(mesh)
+    start_s = time.perf_counter()
+    used_processor_us = _nodes_processor_us(mesh)
     await asyncio.gather(
-        keyed.run(mesh, numbers, seconds), beside.run(mesh, numbers, seconds)
+        keyed.run(mesh, numbers, seconds),
+        unkeyed_beside_keyed.run(mesh, numbers, seconds),
     )
-    took = time.perf_counter() - begin
-    used_us = _processor_us(mesh) - used_us
-    keyed_us = (used_us - beside.sent * plain_us) / keyed.sent
-    during = log.counts - before
+    duration_s = time.perf_counter() - start_s
+    used_processor_us = _nodes_processor_us(mesh) - used_processor_us
+    keyed_us = (
+        used_processor_us - unkeyed_beside_keyed.answered * unkeyed_us
+    ) / keyed.answered
+    during_keyed = log.counts - before
     added = {
-        key: round(keyed.summary()[key] - plain.summary()[key], 2)
+        key: round(keyed.summary()[key] - unkeyed.summary()[key], 2)
         for key in ("p50_ms", "p99_ms")
     }
     return {
         "nodes": len(mesh.nodes),
         "rate": rate,
         "keyed": keyed.summary(),
-        "unkeyed": plain.summary(),
+        "unkeyed": unkeyed.summary(),
         "added": added,
-        "unkeyed_alone": alone.summary(),
-        "unkeyed_beside_keyed": beside.summary(),
+        "unkeyed_alone": unkeyed_alone.summary(),
+        "unkeyed_beside_keyed": unkeyed_beside_keyed.summary(),
         "node_processor_us_per_request": {
-            "unkeyed": round(plain_us),
+            "unkeyed": round(unkeyed_us),
             "keyed": round(keyed_us),
         },
-        "claims_appends_during_unkeyed": during_plain["appends"],
+        "claims_appends_during_unkeyed": during_unkeyed["appends"],
         "claims_per_second": {
-            name: round(count / took, 1) for name, count in during.items()
+            name: round(count / duration_s, 1)
+            for name, count in during_keyed.items()
         },
     }
 
 
-def _processor_us(mesh: TestMesh) -> int:
+def _nodes_processor_us(mesh: TestMesh) -> int:
     nodes = mesh.nodes.values()
     return sum(processor_us(node.process.pid) for node in nodes)
 
@@ -268,17 +280,17 @@
     ]
     for level in result["levels"]:
         keyed, added = level["keyed"], level["added"]
-        beside, alone = level["unkeyed_beside_keyed"], level["unkeyed_alone"]
-        second = level["claims_per_second"]
-        used = level["node_processor_us_per_request"]
+        during, before = level["unkeyed_beside_keyed"], level["unkeyed_alone"]
+        rates = level["claims_per_second"]
+        cpu_us = level["node_processor_us_per_request"]
         lines.append(
             f"{level['nodes']:>5} {level['rate']:>4}"
             f"  {keyed['p50_ms']:>6} /{keyed['p99_ms']:>7}"
             f"   {added['p50_ms']:>6} /{added['p99_ms']:>7}"
-            f"  {second.get('appends', 0):>9} {second.get('reads', 0):>7}"
-            f" {second.get('read_bytes', 0) / 1000:>9.1f}"
-            f"  {used['keyed']} ({used['unkeyed']})"
-            f"  {beside['p50_ms']} / {beside['p99_ms']}"
-            f" ({alone['p50_ms']} / {alone['p99_ms']})  {keyed['answers']}"
+            f"  {rates.get('appends', 0):>9} {rates.get('reads', 0):>7}"
+            f" {rates.get('read_bytes', 0) / 1000:>9.1f}"
+            f"  {cpu_us['keyed']} ({cpu_us['unkeyed']})"
+            f"  {during['p50_ms']} / {during['p99_ms']}"
+            f" ({before['p50_ms']} / {before['p99_ms']})  {keyed['answers']}"
         )
     return "\n".join(lines)
--- a/packages/pomelobank-testing/src/pomelobank_testing/_convergence.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_convergence.py
@@ -1,8 +1,9 @@
-"""Measures how a change reaches every node and what that costs.
+"""Measures how fast a change reaches every node, and the cost.
 
-Starts nodes as processes without targets, lets them rest, then applies changes
-one after the other, each through another node. Every node logs when a version
-is in force; all processes share one machine and so one clock.
+The tool starts nodes as separate processes without targets, measures a period
+without changes, and then applies changes one after the other, each through
+another node. Every node logs the time at which a version is in force. All
+processes run on one machine, so these times come from one clock.
 """
 
 import argparse
@@ -26,24 +27,24 @@
 MODES = ("readers", "every_node_polls")
 DATA_CENTRES = ("hobart", "launceston", "devonport", "burnie")
 MAX_NODES = 105
-_STARTS_AT_ONCE = 8
+_MAX_CONCURRENT_STARTS = 8
 _ARRIVAL_TIMEOUT_S = 30.0
-_SETTLE_S = 4.0
-_POLL_S = 0.05
+_SETTLE_TIME_S = 4.0
+_POLL_INTERVAL_S = 0.05
 _MS_PER_S = 1000
-_SOCKET = re.compile(r"bytes_sent:(\d+)")
-_OWNER = re.compile(r"pid=(\d+)")
+_BYTES_SENT_PATTERN = re.compile(r"bytes_sent:(\d+)")
+_PROCESS_ID_PATTERN = re.compile(r"pid=(\d+)")
 
 
 @attrs.frozen
 class Cost:
-    """What the mesh has spent up to a moment.
+    """Resources that the mesh has used since its start.
 
     Attributes:
-        at_s: When it was read.
+        at_s: Time at which the counters were read.
         log_reads: Reads that the log answered.
         log_appends: Appends that took effect.
-        log_bytes: Bytes of the log's answers to reads.
+        log_bytes: Bytes of the log's responses to reads.
         sent_bytes: Bytes sent by each process on its open streams, by node.
         processor_s: Processor time of each process, by node.
     """
@@ -55,8 +56,8 @@
     sent_bytes: dict[str, int]
     processor_s: dict[str, float]
 
-    def until(self, later: "Cost") -> dict[str, Any]:
-        """Returns what was spent a second between two moments."""
+    def rates_until(self, later: "Cost") -> dict[str, Any]:
+        """Returns the resources used a second between two readings."""
         seconds = later.at_s - self.at_s
         sent = [
             max(0, later.sent_bytes[name] - self.sent_bytes[name]) / seconds
@@ -68,9 +69,9 @@
         ]
         return {
             "seconds": round(seconds, 1),
-            "log_reads_per_s": _rate(self, later, "log_reads"),
-            "log_appends_per_s": _rate(self, later, "log_appends"),
-            "log_bytes_per_s": _rate(self, later, "log_bytes"),
+            "log_reads_per_s": _rate_per_s(self, later, "log_reads"),
+            "log_appends_per_s": _rate_per_s(self, later, "log_appends"),
+            "log_bytes_per_s": _rate_per_s(self, later, "log_bytes"),
             "sent_bytes_per_s_per_node": round(sum(sent) / len(sent)),
             "sent_bytes_per_s_most": round(max(sent)),
             "sent_bytes_per_s_in_all": round(sum(sent)),
@@ -78,9 +79,9 @@
         }
 
 
-def _rate(before: Cost, later: Cost, name: str) -> float:
-    spent: float = getattr(later, name) - getattr(before, name)
-    return round(spent / (later.at_s - before.at_s), 2)
+def _rate_per_s(before: Cost, later: Cost, name: str) -> float:
+    difference: float = getattr(later, name) - getattr(before, name)
+    return round(difference / (later.at_s - before.at_s), 2)
 
 
 def sent_bytes(process_ids: Iterable[int]) -> dict[int, int]:
@@ -90,9 +91,12 @@
     ).stdout
     totals = dict.fromkeys(process_ids, 0)
     for line in output.splitlines():
-        owner, sent = _OWNER.search(line), _SOCKET.search(line)
-        if owner and sent and int(owner[1]) in totals:
-            totals[int(owner[1])] += int(sent[1])
+        process_id_match, sent = (
+            _PROCESS_ID_PATTERN.search(line),
+            _BYTES_SENT_PATTERN.search(line),
+        )
+        if process_id_match and sent and int(process_id_match[1]) in totals:
+            totals[int(process_id_match[1])] += int(sent[1])
     return totals
 
 
@@ -104,8 +108,12 @@
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-def arrivals(node: NodeProcess, version: int) -> list[int]:
-    """Returns when a node had a version in force, in ms since the epoch."""
+def in_force_times_ms(node: NodeProcess, version: int) -> list[int]:
+    """Returns when a node had a version or a later one in force.
+
+    The times are in ms since the epoch. A node may skip versions, so a later
+    version counts as well.
+    """
     return [
         line["at_ms"]
         for line in node.lines
@@ -122,7 +130,8 @@
         mesh: The mesh.
         changes: Number of changes.
         pause_s: Pause between two changes.
-        rest_s: Length of the rest.
+        rest_s: Length of the period without changes.
+        channels: Channels to the nodes' operator interfaces.
     """
 
     mesh: TestMesh
@@ -132,11 +141,11 @@
     channels: list[grpc.aio.Channel] = attrs.field(factory=list)
 
     async def start(self, count: int) -> None:
-        """Starts the nodes, a few at a time."""
-        slots = asyncio.Semaphore(_STARTS_AT_ONCE)
+        """Starts the nodes, a limited number at a time."""
+        start_slots = asyncio.Semaphore(_MAX_CONCURRENT_STARTS)
 
         async def start_one(index: int) -> None:
-            async with slots:
+            async with start_slots:
                 data_centre = DATA_CENTRES[index % len(DATA_CENTRES)]
                 await self.mesh.add_node(f"node-{index}", data_centre)
 
@@ -148,7 +157,7 @@
         await asyncio.gather(
             *(self._wait_members(channel, count) for channel in self.channels)
         )
-        await asyncio.sleep(_SETTLE_S)
+        await asyncio.sleep(_SETTLE_TIME_S)
 
     async def _wait_members(
         self, channel: grpc.aio.Channel, count: int
@@ -158,10 +167,10 @@
             reply = await stub.GetStatus(pb.StatusRequest())
             if len(reply.members) >= count:
                 return
-            await asyncio.sleep(_POLL_S * len(self.channels))
+            await asyncio.sleep(_POLL_INTERVAL_S * len(self.channels))
 
     def cost(self) -> Cost:
-        """Reads what was spent so far."""
+        """Reads the counters of used resources."""
         log, nodes = self.mesh.log, self.mesh.nodes
         sent = sent_bytes(node.process.pid for node in nodes.values())
         return Cost(
@@ -179,32 +188,34 @@
         )
 
     async def measure(self) -> dict[str, Any]:
-        """Measures a rest and the changes."""
+        """Measures a period without changes, and the changes."""
         await self._apply(0, _first_operations())
         await asyncio.sleep(self.pause_s)
         before = self.cost()
         await asyncio.sleep(self.rest_s)
-        rested = self.cost()
-        from_answer: list[int] = []
-        from_request: list[int] = []
-        last: list[int] = []
+        after_rest = self.cost()
+        since_response_ms: list[int] = []
+        since_request_ms: list[int] = []
+        last_node_ms: list[int] = []
         for index in range(self.changes):
-            begun_ms = _wall_ms()
-            version, answered_ms = await self._apply(index, [_change(index)])
-            times = await self._arrivals(version)
-            from_answer += [max(0, at - answered_ms) for at in times]
-            from_request += [at - begun_ms for at in times]
-            last.append(max(0, max(times) - answered_ms))
+            request_sent_ms = _wall_clock_ms()
+            version, response_ms = await self._apply(
+                index, [_route_operation(index)]
+            )
+            times = await self._wait_in_force(version)
+            since_response_ms += [max(0, at - response_ms) for at in times]
+            since_request_ms += [at - request_sent_ms for at in times]
+            last_node_ms.append(max(0, max(times) - response_ms))
             await asyncio.sleep(self.pause_s)
-        changed = self.cost()
+        after_changes = self.cost()
         return {
             "nodes": len(self.mesh.nodes),
             "changes": self.changes,
-            "ms_from_answer": _summary(from_answer),
-            "ms_from_request": _summary(from_request),
-            "ms_last_node": _summary(last),
-            "at_rest": before.until(rested),
-            "under_changes": rested.until(changed),
+            "ms_from_answer": _summary(since_response_ms),
+            "ms_from_request": _summary(since_request_ms),
+            "ms_last_node": _summary(last_node_ms),
+            "at_rest": before.rates_until(after_rest),
+            "under_changes": after_rest.rates_until(after_changes),
         }
 
     async def _apply(
@@ -214,17 +225,20 @@
         request = pb.ApplyRequest(author="measurement", operations=operations)
         reply = await stub.Apply(request)
         if reply.status != pb.CHANGE_ACCEPTED:
-            raise RuntimeError(f"not accepted: {reply}")
-        return reply.version, _wall_ms()
+            raise RuntimeError(f"change was not accepted: {reply}")
+        return reply.version, _wall_clock_ms()
 
-    async def _arrivals(self, version: int) -> list[int]:
+    async def _wait_in_force(self, version: int) -> list[int]:
         deadline = time.monotonic() + _ARRIVAL_TIMEOUT_S
         times: list[int] = []
         for name, node in self.mesh.nodes.items():
-            while not (found := arrivals(node, version)):
+            while not (found := in_force_times_ms(node, version)):
                 if time.monotonic() > deadline:
-                    raise TimeoutError(f"{name} never got version {version}")
-                await asyncio.sleep(_POLL_S)
+                    raise TimeoutError(
+                        f"{name}: version {version} not in force"
+                        f" within {_ARRIVAL_TIMEOUT_S:g} s"
+                    )
+                await asyncio.sleep(_POLL_INTERVAL_S)
             times.append(min(found))
         return times
 
@@ -234,7 +248,7 @@
             await channel.close(None)
 
 
-def _wall_ms() -> int:
+def _wall_clock_ms() -> int:
     return time.time_ns() // 1_000_000
 
 
@@ -248,7 +262,7 @@
     return [pb.Operation(object=item, expected_revision=-1) for item in objects]
 
 
-def _change(index: int) -> pb.Operation:
+def _route_operation(index: int) -> pb.Operation:
     route = pb.Route(
         name="stock",
         service="counter-desk",
@@ -269,7 +283,7 @@
     }
 
 
-async def _run(
+async def _measure(
     count: int, mode: str, options: argparse.Namespace
 ) -> dict[str, Any]:
     distribution: dict[str, Any] = {"mode": mode}
@@ -286,29 +300,29 @@
             await run.stop()
 
 
-def _line(result: dict[str, Any]) -> str:
-    rest, busy = result["at_rest"], result["under_changes"]
+def _table_row(result: dict[str, Any]) -> str:
+    at_rest, busy = result["at_rest"], result["under_changes"]
     last = result["ms_last_node"]
     return (
         f"{result['nodes']:>4} {result['mode']:<17}"
         f" {result['ms_from_answer']['p50']:>4}"
         f" {result['ms_from_answer']['p99']:>5} {last['max']:>5}"
-        f" {rest['log_reads_per_s']:>7} {busy['log_reads_per_s']:>7}"
-        f" {rest['log_bytes_per_s']:>8} {busy['log_bytes_per_s']:>8}"
-        f" {rest['sent_bytes_per_s_per_node']:>7}"
+        f" {at_rest['log_reads_per_s']:>7} {busy['log_reads_per_s']:>7}"
+        f" {at_rest['log_bytes_per_s']:>8} {busy['log_bytes_per_s']:>8}"
+        f" {at_rest['sent_bytes_per_s_per_node']:>7}"
         f" {busy['sent_bytes_per_s_per_node']:>7}"
-        f" {rest['core_share_per_node']:>7}"
+        f" {at_rest['core_share_per_node']:>7}"
     )
 
 
-_HEAD = (
+_TABLE_HEADER = (
     "node mode               p50   p99  last  rd/s    rd/s*  logB/s "
     " logB/s*  B/s/nd B/s/nd* core/nd   (* under changes; times in ms)"
 )
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Measures and writes the results; returns 0."""
+    """Measures, prints and writes the results; returns 0."""
     parser = argparse.ArgumentParser(prog="convergence", description=__doc__)
     parser.add_argument("--nodes", default="4,13")
     parser.add_argument("--mode", choices=(*MODES, "both"), default="both")
@@ -322,13 +336,13 @@
     options = parser.parse_args(arguments)
     sizes = [int(item) for item in options.nodes.split(",")]
     if max(sizes) > MAX_NODES:
-        parser.error(f"at most {MAX_NODES} nodes fit on one machine")
-    print(_HEAD)
+        parser.error(f"--nodes allows at most {MAX_NODES} nodes on one machine")
+    print(_TABLE_HEADER)
     results = []
     for size in sizes:
         for mode in MODES if options.mode == "both" else (options.mode,):
-            results.append(asyncio.run(_run(size, mode, options)))
-            print(_line(results[-1]), flush=True)
+            results.append(asyncio.run(_measure(size, mode, options)))
+            print(_table_row(results[-1]), flush=True)
     if options.output is not None:
         options.output.parent.mkdir(parents=True, exist_ok=True)
         document = {
--- a/packages/pomelobank-testing/src/pomelobank_testing/_core_config.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_core_config.py
@@ -1,4 +1,4 @@
-"""Measures the configuration's decisions alone: no sockets, no processes."""
+"""Measures core's configuration code without sockets and processes."""
 
 import argparse
 import gc
@@ -37,7 +37,7 @@
 )
 from pomelobank_schema.generated.settings import DistributionSettings
 
-_DATA_CENTRES = 6
+_DATA_CENTRE_COUNT = 6
 _NS_PER_US = 1000
 
 
@@ -48,7 +48,7 @@
     Attributes:
         services: Number of services.
         routes: Number of routes.
-        audit: Number of remembered changes.
+        audit: Number of changes in the audit trail.
         members: Number of members.
     """
 
@@ -58,8 +58,8 @@
     members: int
 
 
-def put_all(size: Size) -> ChangeRecord:
-    """Returns the change that writes every object."""
+def create_all_objects(size: Size) -> ChangeRecord:
+    """Returns the change that creates every object."""
     operations = []
     for index in range(size.services):
         service = ServiceObject(name=f"service-{index}")
@@ -72,21 +72,21 @@
 
 def put_route(size: Size, index: int, weight: int) -> OperationRecord:
     """Returns the operation that writes one route."""
-    place = index % size.services
+    service_index = index % size.services
     destination = WeightedDestination(
-        upstream=f"main-{place}", weight=1 + weight
+        upstream=f"main-{service_index}", weight=1 + weight
     )
     route = RouteObject(
         name=f"route-{index}",
-        service=f"service-{place}",
+        service=f"service-{service_index}",
         path_prefix=f"/path/{index}",
         destinations=(destination,),
     )
     return OperationRecord(kind="put", route=route, expected_revision=-1)
 
 
-def one_change(size: Size, number: int) -> ChangeRecord:
-    """Returns an ordinary change: one route, with a reason."""
+def route_change(size: Size, number: int) -> ChangeRecord:
+    """Returns a change of typical size: one route, with a reason."""
     return ChangeRecord(
         change_id=f"{number:032x}",
         author="operator@example.org",
@@ -96,32 +96,32 @@
     )
 
 
-def replayed(size: Size) -> ConfigState:
-    """Returns the state after the first change and a full audit trail."""
-    state = replay_change(ConfigState(), 0, put_all(size))
+def replayed_state(size: Size) -> ConfigState:
+    """Returns the state with all objects and a full audit trail."""
+    state = replay_change(ConfigState(), 0, create_all_objects(size))
     for number in range(1, size.audit):
-        state = replay_change(state, number, one_change(size, number))
+        state = replay_change(state, number, route_change(size, number))
     return state
 
 
-def _median_us(work: Callable[[int], object], rounds: int) -> float:
+def _median_us(function: Callable[[int], object], rounds: int) -> float:
     times = []
     for index in range(rounds):
-        begun = time.perf_counter_ns()
-        work(index)
-        times.append(time.perf_counter_ns() - begun)
+        start_ns = time.perf_counter_ns()
+        function(index)
+        times.append(time.perf_counter_ns() - start_ns)
     return round(sorted(times)[rounds // 2] / _NS_PER_US, 1)
 
 
 def measure_replay(size: Size, rounds: int) -> dict[str, Any]:
     """Measures replay, the route table and snapshots at one size."""
     tracemalloc.start()
-    state = replayed(size)
+    state = replayed_state(size)
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     version = state.snapshot.version
-    changes = [one_change(size, version + n) for n in range(rounds)]
+    changes = [route_change(size, version + n) for n in range(rounds)]
     data = [encode(item) for item in changes]
     snapshot = encode(snapshot_record(state))
 
@@ -131,7 +131,7 @@
         return restore_snapshot(record)
 
     return {
-        "state_bytes": held,
+        "state_bytes": allocated_bytes,
         "change_bytes": len(data[0]),
         "snapshot_bytes": len(snapshot),
         "decode_us": _median_us(
@@ -150,12 +150,12 @@
     }
 
 
-def members_of(size: Size) -> list[MemberEntry]:
+def member_entries(size: Size) -> list[MemberEntry]:
     """Returns the entries of all members."""
     return [
         MemberEntry(
             node=f"node-{index}",
-            data_centre=f"centre-{index % _DATA_CENTRES}",
+            data_centre=f"centre-{index % _DATA_CENTRE_COUNT}",
             state="ready",
             peer_address=f"10.0.{index // 250}.{index % 250 + 1}:7000",
             version=5,
@@ -165,37 +165,37 @@
 
 
 def measure_distribution(size: Size, rounds: int) -> dict[str, Any]:
-    """Measures one node's part in distribution among many members."""
-    own, *others = members_of(size)
+    """Measures the distribution code of one node in a mesh of many members."""
+    own, *others = member_entries(size)
     settings = DistributionSettings()
     tracemalloc.start()
-    machine = Distribution(settings, 5000, random.Random(1))
-    floor = MinServingVersion(3000)
-    machine.update_members(own, others)
+    distribution = Distribution(settings, 5000, random.Random(1))
+    min_version = MinServingVersion(3000)
+    distribution.update_members(own, others)
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     digest = VersionDigest(version=5, address=own.peer_address, heartbeat=True)
 
-    def hear(now_ms: int) -> None:
-        machine.on_digest(digest, 5, now_ms)
-        floor.on_peer_version(5, True, now_ms)
+    def receive_digest(now_ms: int) -> None:
+        distribution.on_digest(digest, 5, now_ms)
+        min_version.on_peer_version(5, True, now_ms)
 
-    views = [
-        find_neighbours(item, [*others, own], settings)
-        for item in others[:_DATA_CENTRES]
+    neighbours = [
+        find_neighbours(member, [*others, own], settings)
+        for member in others[:_DATA_CENTRE_COUNT]
     ]
     return {
-        "state_bytes": held,
+        "state_bytes": allocated_bytes,
         "find_neighbours_us": _median_us(
-            lambda _: machine.update_members(own, others), rounds
+            lambda _: distribution.update_members(own, others), rounds
         ),
-        "heartbeat_us": _median_us(lambda _: machine.heartbeat(), rounds),
-        "hear_digest_us": _median_us(hear, rounds),
-        "next_read_us": _median_us(machine.next_read, rounds),
+        "heartbeat_us": _median_us(lambda _: distribution.heartbeat(), rounds),
+        "hear_digest_us": _median_us(receive_digest, rounds),
+        "next_read_us": _median_us(distribution.next_read, rounds),
         "digest_bytes": len(encode(digest)),
         "most_peers": max(
-            len(view.push_to) + len(view.notify) for view in views
+            len(item.push_to) + len(item.notify) for item in neighbours
         ),
     }
 
@@ -209,7 +209,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Measures and writes the results; returns 0."""
+    """Measures, prints and writes the results; returns 0."""
     parser = argparse.ArgumentParser(prog="core-config", description=__doc__)
     parser.add_argument("--rounds", type=int, default=200)
     parser.add_argument("--note", default="")
--- a/packages/pomelobank-testing/src/pomelobank_testing/_core_members.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_core_members.py
@@ -1,8 +1,9 @@
-"""Measures core membership alone: `python -m pomelobank_testing core-members`.
+"""Measures core's membership code without sockets and processes.
 
-Every machine of the fleet runs in this process, over a plain queue without
-delays; frames are encoded and decoded as on a real stream. It tells what the
-decisions and the codec cost, not what sockets cost.
+Usage: `python -m pomelobank_testing core-members`. All members of the fleet run
+in this process and exchange frames over an in-memory queue without delay.
+Frames are encoded and decoded as on a real stream, so the results contain the
+cost of the membership protocol and of the codec, but not of sockets.
 """
 
 import argparse
@@ -19,31 +20,35 @@
 from pomelobank_testing._member_fleet import TIME_STEP_MS, MemberFleet
 
 _MS_PER_S = 1000
-_QUIET_MS = 20_000
-_LIMIT_MS = 300_000
-_VERSION = 7
+_REST_DURATION_MS = 20_000
+_TIMEOUT_MS = 300_000
+_NEW_VERSION = 7
 
 
 @attrs.frozen
 class MemberCosts:
-    """What membership costs and how fast it is at one size.
+    """Cost and speed of membership at one fleet size.
 
     Attributes:
-        members: Size of the fleet.
-        rest_bytes_per_s: Bytes that one member sends in a second at rest.
-        rest_processor_percent: Part of a core that one member uses at rest.
-        table_bytes: Memory of one member's table and machine.
-        suspect_ms: Time until all hold a dead member to be at least suspect,
-            and send it no more work.
-        death_ms: Time until all hold a dead member to be gone.
-        join_ms: Time until all hold a new member to be ready.
-        drain_ms: Time until all know of a drain that was told directly.
-        drain_gossip_ms: The same by gossip alone.
-        versions_ms: Time until all know that every member moved its version.
-        versions_bytes_per_s: Bytes that one member sends in a second of that.
-        day_bytes_per_s: Bytes that one member sends in a second of a day with
-            420 changes, of which each moves every version.
-        false_suspicions: Suspicions at rest; each would be wrong.
+        members: Number of members.
+        rest_bytes_per_s: Bytes that one member sends per second at rest.
+        rest_processor_percent: Percentage of a processor core that one member
+            uses at rest.
+        table_bytes: Memory of one member's table and protocol state.
+        suspect_ms: Time until all members see a crashed member as suspect or
+            gone, and send no more requests to the member.
+        death_ms: Time until all members see a crashed member as gone.
+        join_ms: Time until all members see a new member as ready.
+        drain_ms: Time until all members see a drain that the draining member
+            sent to each of them directly.
+        drain_gossip_ms: Time until all members see a drain that spreads by
+            gossip alone.
+        versions_ms: Time until all members know a new version of every member.
+        versions_bytes_per_s: Bytes that one member sends per second while the
+            new versions spread.
+        day_bytes_per_s: Bytes that one member sends per second, as the mean of
+            a day with 420 changes that each change every member's version.
+        false_suspicions: Suspicions at rest, where no member has crashed.
     """
 
     members: int
@@ -61,50 +66,52 @@
     false_suspicions: int
 
 
-_CHANGES_A_DAY = 420
+_CHANGES_PER_DAY = 420
 _S_PER_DAY = 86_400
 
 
 def measure(count: int) -> MemberCosts:
     """Measures a fleet of one size."""
-    table_bytes = _memory_of_one(count)
+    table_bytes = _table_memory_bytes(count)
     fleet = MemberFleet.of(count)
     fleet.run(2 * TIME_STEP_MS)
-    rest_bytes, processor = _at_rest(fleet)
+    rest_bytes, processor_share = _measure_rest(fleet)
     suspicions = sum(swim.suspected for swim in fleet.members.values())
-    versions_ms, version_bytes = _versions(fleet)
-    suspect_ms, death_ms = _death(fleet)
-    extra = max(0.0, version_bytes - rest_bytes) * versions_ms / _MS_PER_S
+    versions_ms, version_bytes = _measure_versions(fleet)
+    suspect_ms, death_ms = _measure_failure(fleet)
+    extra_bytes = max(0.0, version_bytes - rest_bytes) * versions_ms / _MS_PER_S
     return MemberCosts(
         members=count,
         rest_bytes_per_s=round(rest_bytes, 1),
-        rest_processor_percent=round(100 * processor, 4),
+        rest_processor_percent=round(100 * processor_share, 4),
         table_bytes=table_bytes,
         suspect_ms=suspect_ms,
         death_ms=death_ms,
-        join_ms=_join(fleet, count),
-        drain_ms=_drain(fleet, 1, direct=True),
-        drain_gossip_ms=_drain(fleet, 2, direct=False),
+        join_ms=_measure_join(fleet, count),
+        drain_ms=_measure_drain(fleet, 1, direct=True),
+        drain_gossip_ms=_measure_drain(fleet, 2, direct=False),
         versions_ms=versions_ms,
         versions_bytes_per_s=round(version_bytes, 1),
         day_bytes_per_s=round(
-            rest_bytes + extra * _CHANGES_A_DAY / _S_PER_DAY, 1
+            rest_bytes + extra_bytes * _CHANGES_PER_DAY / _S_PER_DAY, 1
         ),
         false_suspicions=suspicions,
     )
 
 
-def _memory_of_one(count: int) -> int:
+def _table_memory_bytes(count: int) -> int:
     entries = [MemberFleet.entry(index) for index in range(1, count)]
-    wire = [entry.to_wire() for entry in entries]
+    encoded = [entry.to_wire() for entry in entries]
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
         swim = MemberFleet().add(MemberFleet.entry(0))
-        kind = type(entries[0])
-        # Each value is its own object, as after decoding a frame.
+        entry_type = type(entries[0])
+        # Encoding and decoding gives each entry values of its own, as the
+        # decoding of a frame does; shared values would use less memory.
         swim.table.merge(
-            kind.from_wire(json.loads(json.dumps(values))) for values in wire
+            entry_type.from_wire(json.loads(json.dumps(values)))
+            for values in encoded
         )
         swim.table.ready_for("service-1-main")
         after, _ = tracemalloc.get_traced_memory()
@@ -113,62 +120,66 @@
     return after - before
 
 
-def _sent(fleet: MemberFleet) -> int:
+def _total_sent_bytes(fleet: MemberFleet) -> int:
     return sum(fleet.sent_bytes.values())
 
 
-def _at_rest(fleet: MemberFleet) -> tuple[float, float]:
-    start_bytes, start_s = _sent(fleet), time.process_time()
-    fleet.run(_QUIET_MS)
+def _measure_rest(fleet: MemberFleet) -> tuple[float, float]:
+    start_bytes, start_s = _total_sent_bytes(fleet), time.process_time()
+    fleet.run(_REST_DURATION_MS)
     used_s = time.process_time() - start_s
-    seconds = _QUIET_MS / _MS_PER_S
+    seconds = _REST_DURATION_MS / _MS_PER_S
     members = len(fleet.members)
-    sent = _sent(fleet) - start_bytes
-    return sent / seconds / members, used_s / seconds / members
+    sent_bytes = _total_sent_bytes(fleet) - start_bytes
+    return sent_bytes / seconds / members, used_s / seconds / members
 
 
-def _versions(fleet: MemberFleet) -> tuple[int, float]:
-    start_bytes = _sent(fleet)
+def _measure_versions(fleet: MemberFleet) -> tuple[int, float]:
+    start_bytes = _total_sent_bytes(fleet)
     for swim in fleet.members.values():
-        swim.table.update_version(_VERSION)
+        swim.table.update_version(_NEW_VERSION)
     tables = [swim.table for swim in fleet.members.values()]
 
     def all_known() -> bool:
         while tables:
             table = tables[-1]
-            if any(entry.version != _VERSION for entry in table.all()):
+            if any(entry.version != _NEW_VERSION for entry in table.all()):
                 return False
             tables.pop()
         return True
 
-    took_ms = fleet.run_until(all_known, _LIMIT_MS)
-    sent = _sent(fleet) - start_bytes
-    return took_ms, sent * _MS_PER_S / took_ms / len(fleet.members)
+    duration_ms = fleet.run_until(all_known, _TIMEOUT_MS)
+    sent_bytes = _total_sent_bytes(fleet) - start_bytes
+    return duration_ms, sent_bytes * _MS_PER_S / duration_ms / len(
+        fleet.members
+    )
 
 
-def _death(fleet: MemberFleet) -> tuple[int, int]:
+def _measure_failure(fleet: MemberFleet) -> tuple[int, int]:
     address, swim = next(iter(fleet.members.items()))
     node = swim.table.own.node
     fleet.remove(address)
     suspect, gone = MemberState.SUSPECT.value, MemberState.GONE.value
     suspect_ms = fleet.run_until(
-        lambda: fleet.all_see(node, suspect, gone), _LIMIT_MS
+        lambda: fleet.all_see(node, suspect, gone), _TIMEOUT_MS
+    )
+    after_suspicion_ms = fleet.run_until(
+        lambda: fleet.all_see(node, gone), _TIMEOUT_MS
     )
-    later_ms = fleet.run_until(lambda: fleet.all_see(node, gone), _LIMIT_MS)
-    return suspect_ms, suspect_ms + later_ms
+    return suspect_ms, suspect_ms + after_suspicion_ms
 
 
-def _join(fleet: MemberFleet, index: int) -> int:
+def _measure_join(fleet: MemberFleet, index: int) -> int:
     entry = fleet.entry(index)
     contact = next(iter(fleet.members))
     fleet.add(entry)
     fleet.join(entry.peer_address, contact)
     return fleet.run_until(
-        lambda: fleet.all_see(entry.node, MemberState.READY.value), _LIMIT_MS
+        lambda: fleet.all_see(entry.node, MemberState.READY.value), _TIMEOUT_MS
     )
 
 
-def _drain(fleet: MemberFleet, index: int, direct: bool) -> int:
+def _measure_drain(fleet: MemberFleet, index: int, direct: bool) -> int:
     entry = fleet.entry(index)
     swim = fleet.members[entry.peer_address]
     swim.table.update_own(state=MemberState.DRAINING.value)
@@ -176,7 +187,7 @@
     fleet.execute(entry.peer_address, entry.peer_address, actions)
     return fleet.run_until(
         lambda: fleet.all_see(entry.node, MemberState.DRAINING.value),
-        _LIMIT_MS,
+        _TIMEOUT_MS,
     )
 
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/_demo.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a whole mesh of today's size on embedded stand-ins."""
+"""Demonstrates a whole mesh of real size with embedded stand-ins."""
 
 import argparse
 import asyncio
@@ -15,14 +15,14 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs the demonstration; returns 0 where all requests were answered."""
+    """Runs the demonstration; returns 0 if all requests were answered."""
     parser = argparse.ArgumentParser(prog="demo", description=__doc__)
     parser.add_argument("--mesh", choices=sorted(MESHES), default="derwent")
     parser.add_argument("--requests", type=int, default=30)
     parser.add_argument(
         "--stay",
         action="store_true",
-        help="keep the mesh up until interrupted, to try the command line on",
+        help="keep the mesh up until interrupted, for use of the command line",
     )
     options = parser.parse_args(arguments)
     return asyncio.run(
@@ -32,24 +32,26 @@
 
 async def start_mesh(test_mesh: TestMesh, mesh: Mesh) -> list[str]:
     """Starts every node and target of a mesh; returns the nodes' ids."""
-    starts = []
+    start_calls = []
     names = []
     for service in mesh.services:
         for index in range(service.targets):
             name = f"{service.name}-{index}"
             data_centre = mesh.data_centres[index % len(mesh.data_centres)]
             upstream = UpstreamService(name, f"{service.name}-main", mesh.slots)
-            starts.append(test_mesh.add_node(name, data_centre, upstream))
+            start_calls.append(test_mesh.add_node(name, data_centre, upstream))
             names.append(name)
-    await asyncio.gather(*starts)
+    await asyncio.gather(*start_calls)
     return names
 
 
-async def _run(mesh: Mesh, requests: int, stay: bool) -> int:
+async def _run(mesh: Mesh, requests: int, keep_running: bool) -> int:
     async with TestMesh() as test_mesh:
-        begun = time.monotonic()
+        start_s = time.monotonic()
         names = await start_mesh(test_mesh, mesh)
-        print(f"{len(names)} nodes started in {time.monotonic() - begun:.1f} s")
+        print(
+            f"{len(names)} nodes started in {time.monotonic() - start_s:.1f} s"
+        )
         status, output = await test_mesh.apply(names[0], mesh.document())
         document = json.loads(output)
         verdict = f"{document['status']}, version {document['version']}"
@@ -60,22 +62,22 @@
         await test_mesh.wait_version(names[0], document["version"])
         print(f"version {document['version']} is in force on every node")
         result = await _send_requests(test_mesh, mesh, names, requests)
-        if stay:
-            await _stay(test_mesh)
+        if keep_running:
+            await _wait_for_interrupt(test_mesh)
         return result
 
 
-async def _stay(test_mesh: TestMesh) -> None:
+async def _wait_for_interrupt(test_mesh: TestMesh) -> None:
     for node in test_mesh.nodes.values():
         print(f"{node.name}: {node.addresses}")
     first = next(iter(test_mesh.nodes.values()))
     print(f"export POMELOBANK_NODE={first.addresses['operator']}")
-    print("The mesh stays up; interrupt to end it.", flush=True)
-    ended = asyncio.Event()
+    print("The mesh runs until interrupted.", flush=True)
+    interrupted = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, ended.set)
-    await ended.wait()
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, interrupted.set)
+    await interrupted.wait()
 
 
 async def _send_requests(
--- a/packages/pomelobank-testing/src/pomelobank_testing/_goodput.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_goodput.py
@@ -1,9 +1,9 @@
 """Measures goodput under load: `python -m pomelobank_testing goodput`.
 
-Nodes and targets are processes of their own; callers are in this process.
-Goodput counts answers with status 200 within the caller's time. The design is
-compared with plain round-robin without admission, and the ways of sharing a
-target between classes with each other.
+Nodes and targets are separate processes; callers run in this process. Goodput
+is the rate of responses with status 200 before the caller's timeout. The tool
+compares the design with round robin without admission, and compares the
+admission modes that share a target between traffic classes.
 """
 
 import argparse
@@ -30,17 +30,18 @@
 _REFUSED = 503
 _US_PER_MS = 1000
 _MS_PER_S = 1000
-# The short work sets the capacity of the first part: 4 targets with 10 slots
-# each run 160 requests of 250 ms a second. That leaves the processors idle, so
-# that the figures show the decisions and not the machine.
+# Service time in the comparison by load: 4 targets with 10 slots each run 160
+# requests of 250 ms a second. This rate leaves the processors idle, so the
+# results show the effect of admission and load balancing and not the machine's
+# speed.
 _SHORT_WORK_MS = 250
 _SHORT_TIMEOUT_MS = 2000
-# The second part: look-ups beside reports.
+# The comparison of admission modes: interactive look-ups beside batch reports.
 _LOOK_UP_WORK_MS = 20
 _LOOK_UPS_PER_S = 100
 _REPORT_WORK_MS = 500
 _REPORT_TIMEOUT_MS = 5000
-_REPORT_LOAD = 3
+_REPORT_LOAD_FACTOR = 3
 _WARM_UP_S = 1.5
 _DOCUMENT: dict[str, Any] = {
     "author": "goodput",
@@ -72,17 +73,17 @@
     """One kind of request.
 
     Attributes:
-        path: Its path.
-        work_ms: Time that a target works on it.
-        timeout_ms: Time that its caller waits.
+        path: Path of the request.
+        work_ms: Service time at a target.
+        timeout_ms: Time that the caller waits.
     """
 
     path: str
     work_ms: int
     timeout_ms: int
 
-    def capacity(self) -> float:
-        """Returns how many all targets run in a second."""
+    def capacity_per_s(self) -> float:
+        """Returns how many requests all targets together run in a second."""
         return _NODES * _SLOTS * _MS_PER_S / self.work_ms
 
     def data(self) -> bytes:
@@ -101,56 +102,62 @@
 
 @attrs.define(eq=False)
 class Callers:
-    """Sends one kind of work to all nodes at random times.
+    """Sends one kind of request to all nodes at random times.
 
     Attributes:
-        addresses: Where the nodes take requests.
-        work: The kind of work.
-        rate: Requests a second in all.
-        taken_us: Times to the answers that count, by status.
+        addresses: The nodes' addresses for callers.
+        work: The kind of request.
+        rate_per_s: Requests a second to all nodes together.
+        latencies_us: Latencies of the measured requests, by status.
+        idle: Connections without a request in flight, by address.
+        in_flight: Number of requests in flight.
+        all_answered: Set when the last request in flight is answered.
+        connecting: Tasks that open a connection.
     """
 
     addresses: list[tuple[str, int]]
     work: Work
-    rate: float
-    taken_us: dict[int, list[int]] = attrs.field(factory=dict)
+    rate_per_s: float
+    latencies_us: dict[int, list[int]] = attrs.field(factory=dict)
     idle: dict[tuple[str, int], collections.deque[LightConnection]] = (
         attrs.field(factory=dict)
     )
     in_flight: int = 0
-    quiet: asyncio.Event = attrs.field(factory=asyncio.Event)
+    all_answered: asyncio.Event = attrs.field(factory=asyncio.Event)
     connecting: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     async def run(self, seconds: float) -> None:
-        """Warms up, then measures for a time and waits for the last answer."""
+        """Warms up, measures for a time and waits for the last response."""
         rng = random.Random(1)
         data = self.work.data()
-        begun = time.monotonic()
-        due = begun
-        while due < begun + _WARM_UP_S + seconds:
-            due += rng.expovariate(self.rate)
-            pause_s = due - time.monotonic()
+        start_s = time.monotonic()
+        due_s = start_s
+        while due_s < start_s + _WARM_UP_S + seconds:
+            due_s += rng.expovariate(self.rate_per_s)
+            pause_s = due_s - time.monotonic()
             if pause_s > 0:
                 await asyncio.sleep(pause_s)
-            counts = due >= begun + _WARM_UP_S
-            self._send(rng.choice(self.addresses), data, counts)
+            is_measured = due_s >= start_s + _WARM_UP_S
+            self._send(rng.choice(self.addresses), data, is_measured)
         if self.in_flight:
-            await self.quiet.wait()
+            await self.all_answered.wait()
         for connections in self.idle.values():
             for connection in connections:
                 assert connection.transport is not None
                 connection.transport.close()
 
     def _send(
-        self, address: tuple[str, int], data: bytes, counts: bool
+        self, address: tuple[str, int], data: bytes, is_measured: bool
     ) -> None:
         self.in_flight += 1
-        self.quiet.clear()
+        self.all_answered.clear()
         idle = self.idle.setdefault(address, collections.deque())
         if idle:
-            self._begin(idle.popleft(), data, counts, idle)
+            self._send_on(idle.popleft(), data, is_measured, idle)
             return
-        task = asyncio.create_task(self._connect(address, data, counts, idle))
+        task = asyncio.create_task(
+            self._connect(address, data, is_measured, idle)
+        )
         self.connecting.add(task)
         task.add_done_callback(self.connecting.discard)
 
@@ -158,59 +165,59 @@
         self,
         address: tuple[str, int],
         data: bytes,
-        counts: bool,
+        is_measured: bool,
         idle: collections.deque[LightConnection],
     ) -> None:
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(
             lambda: LightConnection(lambda *_: None), *address
         )
-        self._begin(connection, data, counts, idle)
+        self._send_on(connection, data, is_measured, idle)
 
-    def _begin(
+    def _send_on(
         self,
         connection: LightConnection,
         data: bytes,
-        counts: bool,
+        is_measured: bool,
         idle: collections.deque[LightConnection],
     ) -> None:
-        def done(ended: LightConnection, taken_us: int, status: int) -> None:
-            if counts:
-                self.taken_us.setdefault(status, []).append(taken_us)
+        def done(ended: LightConnection, latency_us: int, status: int) -> None:
+            if is_measured:
+                self.latencies_us.setdefault(status, []).append(latency_us)
             idle.append(ended)
             self.in_flight -= 1
             if not self.in_flight:
-                self.quiet.set()
+                self.all_answered.set()
 
         connection.done = done
         connection.send(data)
 
     def summary(self, seconds: float) -> dict[str, Any]:
-        """Returns the figures, times in ms."""
-        answered = self.taken_us.get(_OK, [])
+        """Returns the results, with latencies in ms."""
+        answered = self.latencies_us.get(_OK, [])
         limit_us = self.work.timeout_ms * _US_PER_MS
-        in_time = sum(taken_us <= limit_us for taken_us in answered)
+        in_time = sum(latency_us <= limit_us for latency_us in answered)
         return {
-            "offered_per_s": round(self.rate, 1),
+            "offered_per_s": round(self.rate_per_s, 1),
             "goodput_per_s": round(in_time / seconds, 1),
             "by_status": {
-                str(status): len(taken)
-                for status, taken in sorted(self.taken_us.items())
+                str(status): len(latencies)
+                for status, latencies in sorted(self.latencies_us.items())
             },
             "answered_ms": quantiles_ms(answered),
-            "refused_ms": quantiles_ms(self.taken_us.get(_REFUSED, [])),
+            "refused_ms": quantiles_ms(self.latencies_us.get(_REFUSED, [])),
         }
 
 
-def quantiles_ms(taken_us: list[int]) -> dict[str, float]:
-    """Returns p50 and p99 in ms; empty without a sample.
+def quantiles_ms(latencies_us: list[int]) -> dict[str, float]:
+    """Returns p50 and p99 in ms, or an empty dictionary without a sample.
 
     >>> quantiles_ms([1000, 2000, 3000])
     {'p50': 2.0, 'p99': 3.0}
     """
-    if not taken_us:
+    if not latencies_us:
         return {}
-    ordered = sorted(taken_us)
+    ordered = sorted(latencies_us)
     last = len(ordered) - 1
     return {
         f"p{percent}": ordered[min(last, len(ordered) * percent // 100)]
@@ -220,7 +227,7 @@
 
 
 class Bench:
-    """Nodes and targets with one way of admission and placing."""
+    """Nodes and targets with one mode of admission and load balancing."""
 
     def __init__(self, requests: dict[str, Any]) -> None:
         self.mesh = TestMesh(overrides={"requests": requests})
@@ -258,17 +265,17 @@
             target.wait()
         await self.mesh.__aexit__(*error)
 
-    def callers(self, work: Work, rate: float) -> Callers:
-        """Returns callers of one kind of work."""
+    def callers(self, work: Work, rate_per_s: float) -> Callers:
+        """Returns callers that send one kind of request."""
         addresses = [
             parse_address(node.addresses["http"])
             for node in self.mesh.nodes.values()
         ]
-        return Callers(addresses, work, rate)
+        return Callers(addresses, work, rate_per_s)
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Measures and writes the results."""
+    """Measures, prints and writes the results; returns 0."""
     parser = argparse.ArgumentParser(prog="goodput", description=__doc__)
     parser.add_argument("--loads", default="0.5,1,2,5")
     parser.add_argument("--seconds", type=float, default=4.0)
@@ -288,13 +295,13 @@
     loads = [float(item) for item in options.loads.split(",")]
     seconds = options.seconds
     goodput = {
-        "design": await _goodput(DESIGN, loads, seconds),
-        "round_robin_without_admission": await _goodput(
+        "design": await _measure_goodput(DESIGN, loads, seconds),
+        "round_robin_without_admission": await _measure_goodput(
             BASELINE, loads, seconds
         ),
     }
     classes = {
-        name: await _classes({**DESIGN, "admission": name}, seconds)
+        name: await _measure_classes({**DESIGN, "admission": name}, seconds)
         for name in ("guaranteed_shared", "fixed_partition", "first_come")
     }
     return {
@@ -304,19 +311,19 @@
         "processors": os.cpu_count(),
         "nodes": _NODES,
         "slots": _SLOTS,
-        "capacity_per_s": SHORT.capacity(),
+        "capacity_per_s": SHORT.capacity_per_s(),
         "goodput": goodput,
         "classes": classes,
     }
 
 
-async def _goodput(
+async def _measure_goodput(
     requests: dict[str, Any], loads: list[float], seconds: float
 ) -> dict[str, Any]:
     figures = {}
     for load in loads:
-        async with Bench(requests) as rig:
-            callers = rig.callers(SHORT, load * SHORT.capacity())
+        async with Bench(requests) as bench:
+            callers = bench.callers(SHORT, load * SHORT.capacity_per_s())
             await callers.run(seconds)
             figures[f"{load:g}"] = callers.summary(seconds)
     peak = max(1.0, *(item["goodput_per_s"] for item in figures.values()))
@@ -325,20 +332,24 @@
     return figures
 
 
-async def _classes(requests: dict[str, Any], seconds: float) -> dict[str, Any]:
-    async with Bench(requests) as rig:
-        alone = rig.callers(LOOK_UP, _LOOK_UPS_PER_S)
-        await alone.run(seconds)
-        beside = rig.callers(LOOK_UP, _LOOK_UPS_PER_S)
-        reports = rig.callers(REPORT, _REPORT_LOAD * REPORT.capacity())
-        await asyncio.gather(beside.run(seconds), reports.run(seconds))
-        report_figures = reports.summary(seconds)
-        capacity = REPORT.capacity()
+async def _measure_classes(
+    requests: dict[str, Any], seconds: float
+) -> dict[str, Any]:
+    async with Bench(requests) as bench:
+        unloaded = bench.callers(LOOK_UP, _LOOK_UPS_PER_S)
+        await unloaded.run(seconds)
+        under_batch = bench.callers(LOOK_UP, _LOOK_UPS_PER_S)
+        batch = bench.callers(
+            REPORT, _REPORT_LOAD_FACTOR * REPORT.capacity_per_s()
+        )
+        await asyncio.gather(under_batch.run(seconds), batch.run(seconds))
+        report_figures = batch.summary(seconds)
+        capacity_per_s = REPORT.capacity_per_s()
         report_figures["of_capacity"] = round(
-            report_figures["goodput_per_s"] / capacity, 3
+            report_figures["goodput_per_s"] / capacity_per_s, 3
         )
         return {
-            "interactive_unloaded": alone.summary(seconds),
-            "interactive_under_batch": beside.summary(seconds),
+            "interactive_unloaded": unloaded.summary(seconds),
+            "interactive_under_batch": under_batch.summary(seconds),
             "batch": report_figures,
         }
--- a/packages/pomelobank-testing/src/pomelobank_testing/_harness.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_harness.py
@@ -1,7 +1,8 @@
-"""Starts nodes as separate processes beside embedded stand-ins.
+"""Starts nodes as separate processes, with embedded stand-ins.
 
-This is a tool for tests and demonstrations; the system itself starts no
-process.
+The stand-ins of the log service and of the targets run in the test's own
+process. The harness serves tests and demonstrations; the system itself starts
+no process.
 """
 
 import asyncio
@@ -32,18 +33,20 @@
 START_TIMEOUT_S = 60.0
 STOP_TIMEOUT_S = 40.0
 ANY_PORT = "127.0.0.1:0"
-_POLL_S = 0.02
+_POLL_INTERVAL_S = 0.02
 
 
 def source_path() -> str:
-    """Returns the PYTHONPATH under which children run this same code."""
+    """Returns the PYTHONPATH with which child processes import this code."""
     modules = (
         pomelobank_schema,
         pomelobank_core,
         pomelobank_node,
         pomelobank_cli,
     )
-    roots = [str(Path(str(item.__file__)).parent.parent) for item in modules]
+    roots = [
+        str(Path(str(module.__file__)).parent.parent) for module in modules
+    ]
     roots.append(str(Path(__file__).parent.parent))
     return os.pathsep.join(roots)
 
@@ -55,14 +58,15 @@
 
 @attrs.define(eq=False)
 class NodeProcess:
-    """A node as a process of its own.
+    """A node that runs as a separate process.
 
     Attributes:
         name: The node's id.
         process: The process.
-        addresses: Its addresses: http, admin, peer and operator.
-        lines: Its log lines so far.
-        ready: Set once it takes requests.
+        addresses: The node's addresses: http, admin, peer and operator.
+        lines: The node's log lines so far.
+        ready: Set once the node accepts requests.
+        reader: The task that reads the log lines.
     """
 
     name: str
@@ -76,12 +80,12 @@
     async def launch(
         cls, name: str, settings: dict[str, Any], folder: Path
     ) -> "NodeProcess":
-        """Starts a node; it may not be ready yet.
+        """Starts a node and returns before the node is ready.
 
         Args:
             name: The node's id.
-            settings: Its settings.
-            folder: Where the settings are written to.
+            settings: The node's settings.
+            folder: Folder for the settings file.
 
         Returns:
             The process.
@@ -98,10 +102,10 @@
             limit=1 << 20,
         )
         node = cls(name, process)
-        node.reader = asyncio.create_task(node._read())
+        node.reader = asyncio.create_task(node._read_log_lines())
         return node
 
-    async def _read(self) -> None:
+    async def _read_log_lines(self) -> None:
         assert self.process.stdout is not None
         async for raw in self.process.stdout:
             try:
@@ -117,49 +121,50 @@
                 self.ready.set()
 
     async def wait_ready(self) -> None:
-        """Waits until the node takes requests."""
+        """Waits until the node accepts requests."""
         async with asyncio.timeout(START_TIMEOUT_S):
             await self.ready.wait()
 
     def own_lines(self) -> list[dict[str, Any]]:
-        """Returns the log lines without those that every change brings."""
+        """Returns the log lines without `config.in_force`."""
         return [
             line
             for line in self.lines
             if line.get("message") != "config.in_force"
         ]
 
-    def signal(self, number: signal.Signals) -> None:
-        """Sends the process a signal."""
-        self.process.send_signal(number)
+    def signal(self, signal_number: signal.Signals) -> None:
+        """Sends a signal to the process."""
+        self.process.send_signal(signal_number)
 
     def freeze(self) -> None:
-        """Lets the process stand still; returns once it does."""
+        """Suspends the process; returns once the process is suspended."""
         self.signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
 
     async def wait(self) -> int:
-        """Waits for the process's end and returns its exit status."""
+        """Waits until the process ends; returns the exit status."""
         try:
             async with asyncio.timeout(STOP_TIMEOUT_S):
                 status = await self.process.wait()
         except TimeoutError:
-            last = self.own_lines()[-40:]
+            last_lines = self.own_lines()[-40:]
             raise TimeoutError(
-                f"{self.name} did not end; its last lines: {last}"
+                f"{self.name} did not exit within {STOP_TIMEOUT_S:g} s;"
+                f" last log lines: {last_lines}"
             ) from None
         if self.reader is not None:
             await self.reader
         return status
 
     async def stop(self) -> int:
-        """Stops the node as planned; returns its exit status."""
+        """Stops the node with SIGTERM; returns the exit status."""
         if self.process.returncode is None:
             self.signal(signal.SIGTERM)
         return await self.wait()
 
     async def kill(self) -> None:
-        """Ends the node at once."""
+        """Kills the process."""
         if self.process.returncode is None:
             self.process.kill()
         await self.wait()
@@ -167,12 +172,12 @@
 
 @attrs.define(eq=False)
 class EmbeddedTarget:
-    """An upstream stand-in in this process, announced to a node.
+    """An upstream stand-in in this process that is announced to a node.
 
     Attributes:
         service: The stand-in.
-        server: Its HTTP server.
-        announcer: Announces it.
+        server: The stand-in's HTTP server.
+        announcer: The task that announces the stand-in.
     """
 
     service: UpstreamService
@@ -187,7 +192,7 @@
         return cls(service, server)
 
     def announce_to(self, admin: str) -> None:
-        """Announces the target to a node, instead of an earlier one."""
+        """Announces the target to a node and to no earlier node any more."""
         if self.announcer is not None:
             self.announcer.cancel()
         self.announcer = asyncio.create_task(
@@ -195,7 +200,7 @@
         )
 
     async def stop(self) -> None:
-        """Stops announcing and serving."""
+        """Stops the announcements and the server."""
         if self.announcer is not None:
             self.announcer.cancel()
             await asyncio.gather(self.announcer, return_exceptions=True)
@@ -207,11 +212,13 @@
     """A log, nodes and targets; an asynchronous context manager.
 
     Attributes:
-        log: The log's stand-in.
-        log_server: Its HTTP server.
+        overrides: Settings that are added to every node's defaults.
+        log: The stand-in of the log service.
         nodes: Node processes by id.
         targets: Targets by the id of the node beside them.
-        overrides: Settings that every node gets.
+        folder: Folder for settings files and configuration documents.
+        log_server: The HTTP server of the log's stand-in.
+        session: The client session for requests to the nodes.
     """
 
     __test__ = False
@@ -236,7 +243,8 @@
     async def __aexit__(self, *_: object) -> None:
         for node in self.nodes.values():
             if node.process.returncode is None:
-                # A frozen process would ignore the request to end.
+                # A suspended process does not handle SIGTERM until it is
+                # continued.
                 node.signal(signal.SIGCONT)
         await asyncio.gather(
             *(node.stop() for node in self.nodes.values()),
@@ -274,7 +282,7 @@
         data_centre: str,
         service: UpstreamService | None = None,
     ) -> NodeProcess:
-        """Starts a node, with a target beside it where one is given."""
+        """Starts a node, and a target beside the node if one is given."""
         if service is not None and name not in self.targets:
             self.targets[name] = await EmbeddedTarget.start(service)
         node = await NodeProcess.launch(
@@ -294,7 +302,7 @@
         method: str = "GET",
         **arguments: Any,
     ) -> tuple[int, dict[str, str], bytes]:
-        """Sends a caller's request to a node.
+        """Sends a request to a node as a caller.
 
         Returns:
             Status, headers and body.
@@ -315,7 +323,7 @@
             )
 
     async def command(self, node: str, *arguments: str) -> tuple[int, str]:
-        """Runs the operators' command line against a node.
+        """Runs the command line tool against a node.
 
         Returns:
             Exit status and standard output.
@@ -344,7 +352,7 @@
         return await self.command(node, "apply", str(path), "--output", "json")
 
     async def wait_version(self, node: str, version: int) -> None:
-        """Waits until every member that a node knows has a version."""
+        """Waits until all members known to a node have a version in force."""
         status, output = await self.command(
             node, "status", "--wait", str(version), "--timeout", "60"
         )
@@ -353,10 +361,10 @@
         await asyncio.gather(*map(self.wait_serving, self.nodes))
 
     async def wait_serving(self, node: str) -> None:
-        """Waits until a node takes callers' requests.
+        """Waits until a node accepts callers' requests.
 
-        A starting node may have a version from a peer before it knows that
-        there is no higher one, and refuses callers until then.
+        A starting node may get a version from a peer before the node knows
+        that no higher version exists, and refuses callers until then.
         """
         assert self.session is not None
         url = f"http://{self.nodes[node].addresses['admin']}/healthz"
@@ -365,14 +373,18 @@
                 async with self.session.get(url) as response:
                     if response.ok:
                         return
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def wait_members(self, count: int, state: str = "ready") -> None:
-        """Waits until every node knows so many members in a state."""
-        waits = (self._wait_count(name, count, state) for name in self.nodes)
-        await asyncio.gather(*waits)
+        """Waits until every node knows a number of members in a state."""
+        waiters = (
+            self._wait_member_count(name, count, state) for name in self.nodes
+        )
+        await asyncio.gather(*waiters)
 
-    async def _wait_count(self, name: str, count: int, state: str) -> None:
+    async def _wait_member_count(
+        self, name: str, count: int, state: str
+    ) -> None:
         deadline = time.monotonic() + START_TIMEOUT_S
         async with grpc.aio.insecure_channel(
             self.nodes[name].addresses["operator"]
@@ -383,11 +395,14 @@
                 states = [member.state for member in reply.members]
                 if states.count(state) >= count:
                     return
-                await asyncio.sleep(_POLL_S)
-        raise TimeoutError(f"{name} never saw {count} members {state}")
+                await asyncio.sleep(_POLL_INTERVAL_S)
+        raise TimeoutError(
+            f"{name} did not see {count} members in state {state}"
+            f" within {START_TIMEOUT_S:g} s"
+        )
 
     async def metric(self, node: str, name: str) -> int:
-        """Returns the sum of the values of a metric, by its shown name."""
+        """Returns the sum of a metric's values, by its name on the page."""
         lines = (await self.metrics(node)).splitlines()
         values = [
             line.rsplit(" ", 1)[1] for line in lines if line.startswith(name)
--- a/packages/pomelobank-testing/src/pomelobank_testing/_journal.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_journal.py
@@ -1,6 +1,7 @@
-"""Makes tables of the recorded days: `python -m pomelobank_testing journal`.
+"""Prints tables of the recorded load test days.
 
-The entries lie in `journal/`, one for each run, as the users' bench wrote them.
+Usage: `python -m pomelobank_testing journal`. The folder `journal/` contains
+one entry for each run, in the form in which the users' test bench wrote it.
 """
 
 import argparse
@@ -13,27 +14,27 @@
 import attrs
 
 _DEFAULT_FOLDER = Path("journal")
-# Prices below this part of a day's worth are left out of the table.
-_LEAST_PRICE = 0.01
+# Prices below this fraction of a day's worth are left out of the table.
+_MIN_SHOWN_PRICE_FRACTION = 0.01
 
 
 @attrs.frozen
 class Day:
-    """One day that was played.
+    """One simulated day of a load test run.
 
     Attributes:
         run: Id of the run.
-        at: When it was played.
-        why: What the run was for.
-        site: Deployment.
-        name: The day's name.
+        at: Start time of the run.
+        why: Purpose of the run.
+        site: Name of the deployment.
+        name: Name of the day.
         slot: Kind of day: quiet, trouble or scale.
-        seed: Seed of its random draws.
-        worth: What it was worth to callers, prices taken off.
-        served: Part of the requests that were served.
-        rules: Names of broken rules.
-        has_fault: Whether a program did not start or ended by itself.
-        prices: Part of the worth that each price took.
+        seed: Seed of the day's randomness.
+        worth: Value of the day's responses to callers, less all prices.
+        served: Fraction of the requests that were served.
+        rules: Names of violated rules.
+        has_fault: Whether a process did not start or exited by itself.
+        prices: Fraction of the worth that each price deducted, by name.
     """
 
     run: str
@@ -51,7 +52,7 @@
 
 
 def read_days(folder: Path) -> list[Day]:
-    """Returns the days of all runs that came to an end, the oldest first."""
+    """Returns the days of all completed runs, in the order of file names."""
     days: list[Day] = []
     for path in sorted(folder.glob("*.json")):
         entry = json.loads(path.read_text())
@@ -72,13 +73,13 @@
         served=item["served"],
         rules=tuple(item["rules"]),
         has_fault=bool(item.get("fault")),
-        # The bench leaves out what it could not charge.
-        prices={name: part or 0.0 for name, _, part in item["prices"]},
+        # The bench writes null for a price that it could not charge.
+        prices={name: fraction or 0.0 for name, _, fraction in item["prices"]},
     )
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Prints a table of the days that fit."""
+    """Prints a table of the selected days; returns 0."""
     parser = argparse.ArgumentParser(prog="journal", description=__doc__)
     parser.add_argument("--folder", type=Path, default=_DEFAULT_FOLDER)
     parser.add_argument("--site", default="", help="name of the deployment")
@@ -97,18 +98,18 @@
 
 
 def table(days: Iterable[Day]) -> list[str]:
-    """Returns the days as lines of a Markdown table, one a day and seed."""
+    """Returns the lines of a Markdown table, with one row for each day."""
     lines = [
-        "| day | seed | worth | served | broken rules | dearest prices | run |",
+        "| day | seed | worth | served | broken rules | highest prices | run |",
         "|---|---|---|---|---|---|---|",
     ]
-    troubled = []
+    worths_with_trouble = []
     for day in sorted(days, key=lambda item: (item.name, item.seed, item.at)):
         lines.append(_row(day))
         if day.slot != "quiet" and not day.has_fault:
-            troubled.append(day.worth)
-    if troubled:
-        mean = statistics.fmean(troubled)
+            worths_with_trouble.append(day.worth)
+    if worths_with_trouble:
+        mean = statistics.fmean(worths_with_trouble)
         lines.append(
             "| mean of days with trouble, faults left out | |"
             f" {mean:.3f} | | | | |"
@@ -118,13 +119,15 @@
 
 def _row(day: Day) -> str:
     prices = sorted(day.prices.items(), key=lambda item: -item[1])
-    dear = ", ".join(
-        f"{name} {part:.3f}" for name, part in prices if part >= _LEAST_PRICE
+    highest_prices = ", ".join(
+        f"{name} {fraction:.3f}"
+        for name, fraction in prices
+        if fraction >= _MIN_SHOWN_PRICE_FRACTION
     )
     rules = ", ".join(day.rules) or "none"
     if day.has_fault:
         rules = "fault"
     return (
         f"| {day.name} | {day.seed} | {day.worth:.3f} | {day.served:.3f}"
-        f" | {rules} | {dear} | {day.run} |"
+        f" | {rules} | {highest_prices} | {day.run} |"
     )
--- a/packages/pomelobank-testing/src/pomelobank_testing/_latency.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_latency.py
@@ -1,8 +1,9 @@
-"""Measures what a node adds to a call: `python -m pomelobank_testing latency`.
+"""Measures the latency that a node adds to a call.
 
-Nodes and target are processes of their own. Blocks of calls straight to the
-target, through the node beside it and through a peer take turns in one run, so
-that a change in the machine's load meets all three.
+Usage: `python -m pomelobank_testing latency`. Nodes and target are separate
+processes. Blocks of calls directly to the target, through the node beside the
+target and through a peer alternate in one run, so a change in the machine's
+load affects all three request paths.
 """
 
 import argparse
@@ -24,7 +25,7 @@
 from pomelobank_testing._light_client import LightClient
 from pomelobank_testing._process_usage import processor_us, resident_bytes
 
-_HIGHEST_US = 60_000_000
+_MAX_LATENCY_US = 60_000_000
 _CONNECTIONS = 16
 _SERVICE = "counter-desk"
 _BODY = b'{"shade": "coral"}' + b" " * 182
@@ -51,22 +52,22 @@
 
 @attrs.define(eq=False)
 class RequestPath:
-    """One way to the target, with what was measured on it.
+    """One request path to the target, with its measurements.
 
     Attributes:
         name: direct, local or peer.
-        address: Where the calls go.
+        address: Address that the calls are sent to.
         histogram: Latencies in microseconds.
         calls: Calls so far.
         failed: Calls that were not answered with 200.
-        processor_us: Processor time of both nodes during its blocks.
+        processor_us: Processor time of both nodes during the path's blocks.
         blocks: Percentiles of each block, in microseconds.
     """
 
     name: str
     address: str
     histogram: HdrHistogram = attrs.field(
-        factory=lambda: HdrHistogram(1, _HIGHEST_US, 3)
+        factory=lambda: HdrHistogram(1, _MAX_LATENCY_US, 3)
     )
     calls: int = 0
     failed: int = 0
@@ -74,23 +75,28 @@
     blocks: list[dict[float, int]] = attrs.field(factory=list)
 
     def add_block(self, latencies_us: list[int]) -> None:
-        """Takes the latencies of one block."""
-        block = HdrHistogram(1, _HIGHEST_US, 3)
+        """Adds the latencies of one block."""
+        block = HdrHistogram(1, _MAX_LATENCY_US, 3)
         for value in latencies_us:
             block.record_value(max(1, value))
         self.histogram.add(block)
         self.blocks.append(
-            {point: block.get_value_at_percentile(point) for point in (50, 99)}
+            {
+                percentile: block.get_value_at_percentile(percentile)
+                for percentile in (50, 99)
+            }
         )
 
     def summary(self) -> dict[str, Any]:
-        """Returns the figures of this way."""
+        """Returns the results of this path."""
         return {
             "calls": self.calls,
             "failed": self.failed,
             "us": {
-                f"p{point:g}": self.histogram.get_value_at_percentile(point)
-                for point in _PERCENTILES
+                f"p{percentile:g}": self.histogram.get_value_at_percentile(
+                    percentile
+                )
+                for percentile in _PERCENTILES
             },
             "node_processor_us_per_call": round(
                 self.processor_us / max(1, self.calls), 1
@@ -105,7 +111,7 @@
     Attributes:
         mesh: The log and the nodes.
         target: The target's process.
-        addresses: Address of each way.
+        addresses: Address of each request path, by name.
         method: HTTP method of the calls.
     """
 
@@ -127,40 +133,53 @@
             f"accept: application/json\r\ncontent-length: {len(body)}\r\n\r\n"
         ).encode() + body
 
-    async def level(self, rate: int, seconds: float, blocks: int) -> Any:
+    async def measure_level(
+        self, rate: int, seconds: float, blocks: int
+    ) -> Any:
         """Measures one load level.
 
         Args:
             rate: Calls a second; 0 for one call after the other.
             seconds: Length of a block.
-            blocks: Blocks of each way.
+            blocks: Blocks of each request path.
 
         Returns:
-            The figures of each way and what each adds to a direct call.
+            The results of each path and the latency that each path adds to a
+            direct call.
         """
-        ways = [
+        request_paths = [
             RequestPath(name, item) for name, item in self.addresses.items()
         ]
         for _ in range(blocks):
-            for way in ways:
-                await self._block(way, rate, seconds)
-        figures = {way.name: way.summary() for way in ways}
+            for request_path in request_paths:
+                await self._block(request_path, rate, seconds)
+        figures = {
+            request_path.name: request_path.summary()
+            for request_path in request_paths
+        }
         direct = figures["direct"]["us"]
         added = {
             name: {key: item["us"][key] - direct[key] for key in direct}
             for name, item in figures.items()
             if name != "direct"
         }
-        turns = {way.name: _added_by_turn(ways[0], way) for way in ways[1:]}
+        rounds = {
+            request_path.name: _added_by_round(request_paths[0], request_path)
+            for request_path in request_paths[1:]
+        }
         return {
             "rate": rate,
             "ways": figures,
             "added_us": added,
-            "added_us_by_turn": turns,
+            "added_us_by_turn": rounds,
         }
 
-    async def _block(self, way: RequestPath, rate: int, seconds: float) -> None:
-        client = LightClient(parse_address(way.address), self.request())
+    async def _block(
+        self, request_path: RequestPath, rate: int, seconds: float
+    ) -> None:
+        client = LightClient(
+            parse_address(request_path.address), self.request()
+        )
         await client.open(_CONNECTIONS if rate else 1)
         await client.run_closed(_CONNECTIONS)
         client.latencies_us.clear()
@@ -171,33 +190,37 @@
             deadline = time.monotonic() + seconds
             while time.monotonic() < deadline:
                 await client.run_closed(20)
-        way.processor_us += sum(processor_us(pid) for pid in self.pids())
-        way.processor_us -= before
+        request_path.processor_us += sum(
+            processor_us(pid) for pid in self.pids()
+        )
+        request_path.processor_us -= before
         client.close()
-        way.add_block(client.latencies_us)
-        way.calls += len(client.latencies_us)
-        way.failed += client.failed
+        request_path.add_block(client.latencies_us)
+        request_path.calls += len(client.latencies_us)
+        request_path.failed += client.failed
 
 
-def _added_by_turn(
-    direct: RequestPath, way: RequestPath
+def _added_by_round(
+    direct: RequestPath, request_path: RequestPath
 ) -> dict[str, list[int]]:
-    """Returns what each block adds to the direct block of the same turn.
+    """Returns the latency that each block adds to its round's direct block.
 
-    On a machine that does other work too, the lowest turns are those that
-    were disturbed least.
+    The lists are sorted. On a machine with other load, the lowest values come
+    from the rounds that this load disturbed least.
     """
     return {
-        f"p{point}": sorted(
-            block[point] - base[point]
-            for base, block in zip(direct.blocks, way.blocks, strict=True)
+        f"p{percentile}": sorted(
+            block[percentile] - base[percentile]
+            for base, block in zip(
+                direct.blocks, request_path.blocks, strict=True
+            )
         )
-        for point in (50, 99)
+        for percentile in (50, 99)
     }
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Measures and writes the results; returns 0 where no call failed."""
+    """Measures and writes the results; returns 0 if no call failed."""
     parser = argparse.ArgumentParser(prog="latency", description=__doc__)
     parser.add_argument("--rates", default="0,200,1000")
     parser.add_argument("--seconds", type=float, default=1.0)
@@ -213,9 +236,9 @@
         options.output.parent.mkdir(parents=True, exist_ok=True)
         options.output.write_text(text + "\n")
     failed = sum(
-        way["failed"]
-        for level in result["levels"]
-        for way in level["ways"].values()
+        request_path["failed"]
+        for load_level in result["levels"]
+        for request_path in load_level["ways"].values()
     )
     return 1 if failed else 0
 
@@ -263,7 +286,7 @@
 async def _run_levels(
     bench: Bench, options: argparse.Namespace
 ) -> dict[str, Any]:
-    resident = {
+    resident_memory = {
         name: resident_bytes(node.process.pid)
         for name, node in bench.mesh.nodes.items()
     }
@@ -274,7 +297,7 @@
         await client.run_closed(_WARM_UP_CALLS)
         client.close()
     levels = [
-        await bench.level(int(rate), options.seconds, options.blocks)
+        await bench.measure_level(int(rate), options.seconds, options.blocks)
         for rate in options.rates.split(",")
     ]
     return {
@@ -283,33 +306,33 @@
         f"--blocks {options.blocks} --method {options.method}",
         "note": options.note,
         "processors": os.cpu_count(),
-        "resident_bytes_at_rest": resident,
+        "resident_bytes_at_rest": resident_memory,
         "levels": levels,
     }
 
 
-def _lowest_and_median(level: dict[str, Any], name: str) -> str:
-    turns = level["added_us_by_turn"].get(name)
-    if turns is None:
+def _lowest_and_median_p99(load_level: dict[str, Any], name: str) -> str:
+    rounds = load_level["added_us_by_turn"].get(name)
+    if rounds is None:
         return ""
-    values = turns["p99"]
+    values = rounds["p99"]
     return f"{values[0]}, {values[len(values) // 2]}"
 
 
 def _table(result: dict[str, Any]) -> str:
     lines = [
         "rate  way     calls  fail   p50    p99  +p50   +p99  cpu/call"
-        "  +p99 of turns: lowest, median"
+        "  +p99 of rounds: lowest, median"
     ]
-    for level in result["levels"]:
-        for name, way in level["ways"].items():
-            added = level["added_us"].get(name, {"p50": 0, "p99": 0})
+    for load_level in result["levels"]:
+        for name, path in load_level["ways"].items():
+            added = load_level["added_us"].get(name, {"p50": 0, "p99": 0})
             lines.append(
-                f"{level['rate']:>4}  {name:<6} {way['calls']:>6} "
-                f"{way['failed']:>5} {way['us']['p50']:>5} "
-                f"{way['us']['p99']:>6} {added['p50']:>5} {added['p99']:>6} "
-                f"{way['node_processor_us_per_call']:>8}"
-                f"  {_lowest_and_median(level, name)}"
+                f"{load_level['rate']:>4}  {name:<6} {path['calls']:>6} "
+                f"{path['failed']:>5} {path['us']['p50']:>5} "
+                f"{path['us']['p99']:>6} {added['p50']:>5} {added['p99']:>6} "
+                f"{path['node_processor_us_per_call']:>8}"
+                f"  {_lowest_and_median_p99(load_level, name)}"
             )
     lines.append(f"resident at rest: {result['resident_bytes_at_rest']}")
     return "\n".join(lines)
--- a/packages/pomelobank-testing/src/pomelobank_testing/_light_target.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_light_target.py
@@ -1,6 +1,7 @@
-"""A target that costs as little as possible, as a process of its own.
+"""A target with minimal processing cost, as a separate process.
 
-Latency is measured against it, so its own share must be small and steady.
+The latency tool measures calls to this target, so the target's own part of the
+latency must be small and steady.
 """
 
 import argparse
@@ -10,16 +11,16 @@
 import aiohttp
 import httptools
 
-_ANSWER_BODY = b'{"shade": "coral", "stock": 7}' + b" " * 170
-_ANSWER = (
+_RESPONSE_BODY = b'{"shade": "coral", "stock": 7}' + b" " * 170
+_RESPONSE = (
     b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n"
-    b"content-length: %d\r\n\r\n" % len(_ANSWER_BODY)
-) + _ANSWER_BODY
+    b"content-length: %d\r\n\r\n" % len(_RESPONSE_BODY)
+) + _RESPONSE_BODY
 _ANNOUNCE_PERIOD_S = 0.5
 
 
 class _Connection(asyncio.Protocol):
-    """Answers every request on one connection with the same bytes."""
+    """Sends the same response to every request on one connection."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -30,11 +31,11 @@
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        self.transport.write(_ANSWER)
+        self.transport.write(_RESPONSE)
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Serves until it is ended; prints its address first."""
+    """Prints the target's address and serves until interrupted."""
     parser = argparse.ArgumentParser(prog="light-target", description=__doc__)
     parser.add_argument(
         "--announce",
--- a/packages/pomelobank-testing/src/pomelobank_testing/_log_service.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_log_service.py
@@ -9,8 +9,8 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-_GONE = 410
-_UNAVAILABLE = 503
+_GONE_STATUS = 410
+_UNAVAILABLE_STATUS = 503
 _S_PER_MS = 0.001
 
 
@@ -21,7 +21,7 @@
     Attributes:
         first_offset: Offset of the oldest record that is kept.
         records: The records that are kept.
-        grown: Replaced and set at every append.
+        grown: Set and replaced at every append.
     """
 
     first_offset: int = 0
@@ -30,7 +30,7 @@
 
     @property
     def end_offset(self) -> int:
-        """Offset that the next append gets."""
+        """Offset of the next append."""
         return self.first_offset + len(self.records)
 
     def append(self, record: bytes) -> int:
@@ -42,22 +42,23 @@
         return offset
 
     def trim(self, keep: int) -> None:
-        """Drops all but the newest records."""
-        drop = max(0, len(self.records) - keep)
-        del self.records[:drop]
-        self.first_offset += drop
+        """Removes all but the newest records."""
+        dropped_count = max(0, len(self.records) - keep)
+        del self.records[:dropped_count]
+        self.first_offset += dropped_count
 
 
 @attrs.define
 class LogFaults:
-    """Switches for the service's failures.
+    """The service's injected faults.
 
     Attributes:
-        outage: Every call is refused and nothing takes effect.
-        delay_ms: Every answer comes so much later.
-        lose_answers: So many further appends take effect while their answer
-            is lost.
-        hang: Calls are never answered and nothing takes effect.
+        outage: Whether every call is refused with status 503 and has no
+            effect.
+        delay_ms: Delay before every call is handled.
+        lose_answers: Number of further appends that take effect but get a
+            response with status 500.
+        hang: Whether calls are never answered and have no effect.
     """
 
     outage: bool = False
@@ -68,14 +69,14 @@
 
 @attrs.define(eq=False)
 class LogService:
-    """Append, and read from an offset with a long poll.
+    """Appends records, and reads from an offset with a long poll.
 
     Attributes:
-        faults: Failures that are switched on.
-        streams: The streams by name.
+        faults: The injected faults.
+        streams: The streams, by name.
         reads: Number of reads that were answered.
         appends: Number of appends that took effect.
-        bytes_read: Bytes of all answers to reads.
+        bytes_read: Bytes of all responses to reads.
         closing: Set when the service stops, so that long polls end.
     """
 
@@ -99,39 +100,41 @@
         )
 
     def stream(self, name: str) -> Stream:
-        """Returns a stream, an empty one where it is new."""
+        """Returns the stream of a name; creates the stream if it is new."""
         return self.streams.setdefault(name, Stream())
 
     async def append(self, request: Request) -> Response:
         """Appends the request's body as one record."""
         record = await request.body()
-        refusal = await self._fail()
-        if refusal is not None:
-            return refusal
+        error_response = await self._apply_faults()
+        if error_response is not None:
+            return error_response
         self.appends += 1
         offset = self.stream(request.path_params["name"]).append(record)
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
             return Response(status_code=500)
-        return _packed({"offset": offset})
+        return _msgpack_response({"offset": offset})
 
     async def read(self, request: Request) -> Response:
-        """Returns records from an offset on."""
-        refusal = await self._fail()
-        if refusal is not None:
-            return refusal
+        """Returns the records from an offset; waits at the stream's end."""
+        error_response = await self._apply_faults()
+        if error_response is not None:
+            return error_response
         query = request.query_params
         stream = self.stream(request.path_params["name"])
         offset, limit = int(query["from"]), int(query["limit"])
         if offset >= stream.end_offset:
-            await self._wait(stream, int(query["wait_ms"]))
+            await self._wait_for_append(stream, int(query["wait_ms"]))
             if self.faults.outage:
-                return Response(status_code=_UNAVAILABLE)
+                return Response(status_code=_UNAVAILABLE_STATUS)
         self.reads += 1
         if offset < stream.first_offset:
-            return _packed({"first": stream.first_offset}, _GONE)
+            return _msgpack_response(
+                {"first": stream.first_offset}, _GONE_STATUS
+            )
         start = offset - stream.first_offset
-        response = _packed(
+        response = _msgpack_response(
             {
                 "first": offset,
                 "records": stream.records[start : start + limit],
@@ -141,30 +144,30 @@
         self.bytes_read += len(response.body)
         return response
 
-    async def _wait(self, stream: Stream, wait_ms: int) -> None:
-        waits = [
+    async def _wait_for_append(self, stream: Stream, wait_ms: int) -> None:
+        waiters = [
             asyncio.create_task(event.wait())
             for event in (stream.grown, self.closing)
         ]
         await asyncio.wait(
-            waits,
+            waiters,
             timeout=wait_ms * _S_PER_MS,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        for wait in waits:
-            wait.cancel()
+        for waiter in waiters:
+            waiter.cancel()
 
-    async def _fail(self) -> Response | None:
+    async def _apply_faults(self) -> Response | None:
         if self.faults.hang:
             await asyncio.Event().wait()
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms * _S_PER_MS)
         if self.faults.outage:
-            return Response(status_code=_UNAVAILABLE)
+            return Response(status_code=_UNAVAILABLE_STATUS)
         return None
 
     async def control(self, request: Request) -> Response:
-        """Sets faults, or trims a stream: {"trim": name, "keep": n}."""
+        """Sets the faults, or trims a stream: {"trim": name, "keep": n}."""
         document = await request.json()
         if "trim" in document:
             self.stream(document["trim"]).trim(document["keep"])
@@ -173,7 +176,7 @@
         return JSONResponse({})
 
     async def counters(self, _: Request) -> Response:
-        """Returns what the service has done so far."""
+        """Returns the numbers of reads, appends and bytes read so far."""
         return JSONResponse(
             {
                 "reads": self.reads,
@@ -183,5 +186,7 @@
         )
 
 
-def _packed(document: dict[str, object], status: int = 200) -> Response:
+def _msgpack_response(
+    document: dict[str, object], status: int = 200
+) -> Response:
     return Response(msgpack.packb(document), status)
--- a/packages/pomelobank-testing/src/pomelobank_testing/_meshes.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_meshes.py
@@ -1,4 +1,4 @@
-"""Today's two meshes: their data centres, services and targets."""
+"""The users' two meshes: their data centres, services and targets."""
 
 import attrs
 
@@ -8,9 +8,9 @@
     """A service of a mesh.
 
     Attributes:
-        name: Its name.
-        targets: Number of its targets.
-        path: Path prefix of its route.
+        name: Name of the service.
+        targets: Number of the service's targets.
+        path: Path prefix of the service's route.
     """
 
     name: str
@@ -23,9 +23,9 @@
     """A mesh.
 
     Attributes:
-        name: Its name.
-        data_centres: Its data centres.
-        services: Its services.
+        name: Name of the mesh.
+        data_centres: Names of the data centres.
+        services: The services.
         slots: Requests that a target runs at once.
     """
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/_plots.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_plots.py
@@ -1,4 +1,4 @@
-"""Draws the recorded results: `python -m pomelobank_testing plots`."""
+"""Draws plots of recorded results: `python -m pomelobank_testing plots`."""
 
 import argparse
 import json
@@ -15,15 +15,18 @@
 PLOTS = Path("docs/plots")
 _SIZE_INCHES = (5.0, 3.2)
 _DOTS_PER_INCH = 80
-_MODES = {"readers": "few readers", "every_node_polls": "every node polls"}
-_VARIANTS = {
+_MODE_LABELS = {
+    "readers": "few readers",
+    "every_node_polls": "every node polls",
+}
+_VARIANT_LABELS = {
     "design": "design",
     "round_robin_without_admission": "round robin, no admission",
 }
 
 
 def draw_convergence(document: dict[str, Any], folder: Path) -> list[Path]:
-    """Draws the log's reads and the last node's time against fleet size."""
+    """Draws the log's reads and the convergence time by number of nodes."""
     return [
         _draw_fleet(
             document,
@@ -41,27 +44,29 @@
 
 
 def _draw_fleet(
-    document: dict[str, Any], label: str, read: Any, path: Path
+    document: dict[str, Any], label: str, get_value: Any, path: Path
 ) -> Path:
     figure, axes = pyplot.subplots(figsize=_SIZE_INCHES)
-    for mode, name in _MODES.items():
+    for mode, name in _MODE_LABELS.items():
         runs = [run for run in document["runs"] if run["mode"] == mode]
         nodes = [run["nodes"] for run in runs]
-        axes.plot(nodes, [read(run) for run in runs], marker="o", label=name)
+        axes.plot(
+            nodes, [get_value(run) for run in runs], marker="o", label=name
+        )
     return _finish(figure, axes, "nodes", label, path)
 
 
 def draw_goodput(document: dict[str, Any], folder: Path) -> list[Path]:
-    """Draws answered requests a second against the load."""
+    """Draws the goodput by offered load."""
     figure, axes = pyplot.subplots(figsize=_SIZE_INCHES)
-    for variant, name in _VARIANTS.items():
+    for variant, name in _VARIANT_LABELS.items():
         levels = document["goodput"][variant]
-        loads = [float(load) for load in levels]
-        served = [level["goodput_per_s"] for level in levels.values()]
-        axes.plot(loads, served, marker="o", label=name)
+        loads = [float(multiple) for multiple in levels]
+        goodput = [level["goodput_per_s"] for level in levels.values()]
+        axes.plot(loads, goodput, marker="o", label=name)
     path = folder / "goodput.png"
-    load = "offered load, multiples of capacity"
-    return [_finish(figure, axes, load, "answered in time per s", path)]
+    load_label = "offered load, multiples of capacity"
+    return [_finish(figure, axes, load_label, "answered in time per s", path)]
 
 
 def _finish(figure: Any, axes: Any, x: str, y: str, path: Path) -> Path:
@@ -76,23 +81,23 @@
     return path
 
 
-_DRAWINGS = {
+_DRAW_FUNCTIONS = {
     "convergence.json": draw_convergence,
     "goodput.json": draw_goodput,
 }
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Draws every result that is there; returns the exit status."""
+    """Draws every result that exists; returns the exit status."""
     parser = argparse.ArgumentParser(prog="plots", description=__doc__)
     parser.add_argument("--results", type=Path, default=RESULTS)
     parser.add_argument("--out", type=Path, default=PLOTS)
     options = parser.parse_args(arguments)
     options.out.mkdir(parents=True, exist_ok=True)
-    for name, draw in _DRAWINGS.items():
+    for name, draw in _DRAW_FUNCTIONS.items():
         source = options.results / name
         if not source.exists():
-            print(f"{source}: not there, passed over")
+            print(f"{source}: not found, skipped")
             continue
         for path in draw(json.loads(source.read_text()), options.out):
             print(path)
--- a/packages/pomelobank-testing/src/pomelobank_testing/_process_usage.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_process_usage.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of a process, as the kernel counts them."""
+"""Processor time and memory of a process, from `/proc`."""
 
 from pathlib import Path
 
@@ -19,4 +19,4 @@
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) * _KIB
-    raise ValueError(f"process {pid} tells no resident memory")
+    raise ValueError(f"/proc/{pid}/status contains no VmRSS line")
--- a/packages/pomelobank-testing/src/pomelobank_testing/_queueing_target.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_queueing_target.py
@@ -1,8 +1,8 @@
-"""A target with slots and a queue of its own, as a process of its own.
+"""A target with slots and an unbounded queue, as a separate process.
 
-It behaves as many services do: it takes every request, runs so many at once
-and lets the others wait, however long that takes. It accepts cancellation: a
-request whose connection is closed is dropped.
+The target behaves like many services: it accepts every request, runs as many
+requests at once as it has slots, and queues all others without a time limit.
+It supports cancellation: a closed connection cancels the request on it.
 """
 
 import argparse
@@ -13,7 +13,7 @@
 import httptools
 
 _BODY = b'{"shade": "coral", "stock": 7}'
-_ANSWER = (
+_RESPONSE = (
     b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n"
     b"content-length: %d\r\n\r\n" % len(_BODY)
 ) + _BODY
@@ -23,7 +23,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """Runs the requests of one connection, one after the other."""
+    """Runs the requests of one connection."""
 
     def __init__(self, slots: asyncio.Semaphore) -> None:
         self.slots = slots
@@ -43,12 +43,12 @@
             self.work_ms = int(value)
 
     def on_message_complete(self) -> None:
-        self.task = asyncio.create_task(self._work(self.work_ms))
+        self.task = asyncio.create_task(self._respond_after_work(self.work_ms))
 
-    async def _work(self, work_ms: int) -> None:
+    async def _respond_after_work(self, work_ms: int) -> None:
         async with self.slots:
             await asyncio.sleep(work_ms / _MS_PER_S)
-        self.transport.write(_ANSWER)
+        self.transport.write(_RESPONSE)
 
     def connection_lost(self, _: Exception | None) -> None:
         if self.task is not None:
@@ -56,13 +56,15 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Serves until it is ended; prints its address first."""
+    """Prints the target's address and serves until interrupted."""
     parser = argparse.ArgumentParser(
         prog="queueing-target", description=__doc__
     )
     parser.add_argument("--slots", type=int, default=4)
     parser.add_argument("--upstream", required=True)
-    parser.add_argument("--admin", required=True, help="its node's own pages")
+    parser.add_argument(
+        "--admin", required=True, help="admin address of its node"
+    )
     options = parser.parse_args(arguments)
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(_serve(options))
--- a/packages/pomelobank-testing/src/pomelobank_testing/_rest.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_rest.py
@@ -14,23 +14,25 @@
 from pomelobank_testing._process_usage import processor_us, resident_bytes
 from pomelobank_testing._upstream_service import UpstreamService
 
-# Starting a node costs about a second of processor time.
-_STARTS_AT_ONCE = 8
+# The start of a node uses about a second of processor time, so more starts at
+# once would only delay each other.
+_MAX_CONCURRENT_STARTS = 8
 _US_PER_S = 1_000_000
 
 
 @attrs.frozen
 class RestCosts:
-    """What a node uses while nothing happens.
+    """Resources that a node uses without requests and changes.
 
     Attributes:
-        nodes: Size of the mesh.
-        processor_percent: Part of a core, median of the nodes.
-        processor_percent_highest: The same, highest of the nodes.
-        sent_bytes_per_s: Bytes of all frames sent to peers, mean of the nodes.
-        resident_mib: Resident memory, median of the nodes.
-        log_reads_per_s: Reads that the log answered, of all nodes.
-        log_appends: Records that all nodes appended while they started.
+        nodes: Number of nodes.
+        processor_percent: Percentage of a processor core; median of the nodes.
+        processor_percent_highest: Percentage of a processor core; maximum of
+            the nodes.
+        sent_bytes_per_s: Bytes of all frames sent to peers; mean of the nodes.
+        resident_mib: Resident memory; median of the nodes.
+        log_reads_per_s: Reads that the log answered for all nodes together.
+        log_appends: Records that all nodes together appended during start.
     """
 
     nodes: int
@@ -45,10 +47,10 @@
 async def measure(count: int, duration_s: float) -> RestCosts:
     """Measures a mesh of one size."""
     async with TestMesh() as mesh:
-        room = asyncio.Semaphore(_STARTS_AT_ONCE)
+        start_slots = asyncio.Semaphore(_MAX_CONCURRENT_STARTS)
 
         async def start(index: int) -> None:
-            async with room:
+            async with start_slots:
                 await mesh.add_node(
                     f"node-{index:03}",
                     f"data-centre-{index % 4}",
@@ -58,37 +60,42 @@
         await asyncio.gather(*(start(index) for index in range(count)))
         await mesh.wait_members(count)
         appends = mesh.log.stream("members").end_offset
-        # What spreads after the start is not rest.
+        # Membership updates still spread after the start; this pause keeps
+        # their traffic out of the results.
         await asyncio.sleep(duration_s / 2)
-        return await _observe(mesh, duration_s, appends)
+        return await _measure_rest(mesh, duration_s, appends)
 
 
-async def _observe(
+async def _measure_rest(
     mesh: TestMesh, duration_s: float, appends: int
 ) -> RestCosts:
     pids = [node.process.pid for node in mesh.nodes.values()]
     before = [processor_us(pid) for pid in pids]
-    sent, reads, begun = await _sent(mesh), mesh.log.reads, time.monotonic()
+    sent_bytes, reads, start_s = (
+        await _total_sent_bytes(mesh),
+        mesh.log.reads,
+        time.monotonic(),
+    )
     await asyncio.sleep(duration_s)
-    took_s = time.monotonic() - begun
-    used = [
-        (processor_us(pid) - start) / _US_PER_S / took_s * 100
+    elapsed_s = time.monotonic() - start_s
+    processor_percents = [
+        (processor_us(pid) - start) / _US_PER_S / elapsed_s * 100
         for pid, start in zip(pids, before, strict=True)
     ]
-    memory = [resident_bytes(pid) / 2**20 for pid in pids]
-    sent = await _sent(mesh) - sent
+    resident_mib = [resident_bytes(pid) / 2**20 for pid in pids]
+    sent_bytes = await _total_sent_bytes(mesh) - sent_bytes
     return RestCosts(
         nodes=len(pids),
-        processor_percent=round(statistics.median(used), 3),
-        processor_percent_highest=round(max(used), 3),
-        sent_bytes_per_s=round(sent / took_s / len(pids), 1),
-        resident_mib=round(statistics.median(memory), 1),
-        log_reads_per_s=round((mesh.log.reads - reads) / took_s, 2),
+        processor_percent=round(statistics.median(processor_percents), 3),
+        processor_percent_highest=round(max(processor_percents), 3),
+        sent_bytes_per_s=round(sent_bytes / elapsed_s / len(pids), 1),
+        resident_mib=round(statistics.median(resident_mib), 1),
+        log_reads_per_s=round((mesh.log.reads - reads) / elapsed_s, 2),
         log_appends=appends,
     )
 
 
-async def _sent(mesh: TestMesh) -> int:
+async def _total_sent_bytes(mesh: TestMesh) -> int:
     total = 0
     for name in mesh.nodes:
         total += await mesh.metric(name, "pomelobank_peer_sent_size")
--- a/packages/pomelobank-testing/src/pomelobank_testing/_upstream_service.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_upstream_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of an upstream instance of the platform."""
+"""Stand-in of an upstream instance."""
 
 import asyncio
 import contextlib
@@ -16,28 +16,30 @@
 
 @attrs.define(eq=False)
 class UpstreamService:
-    """A plain ASGI application with slots and switches for its behaviour.
+    """An ASGI application with slots and configurable behaviour.
 
-    Requests are steered by their headers: `x-work-ms` is how long the work
-    takes, `x-size` the bytes of the answer, `x-crash` ends the instance in the
-    middle of the work, `x-run-id` is counted.
+    Request headers control the behaviour: `x-work-ms` sets the service time,
+    `x-size` sets the minimum size of the response's body, `x-crash` ends the
+    process during the request, and runs are counted by `x-run-id`.
 
     Attributes:
         name: Name of the instance.
-        upstream: Name of the upstream that it belongs to.
-        slots: Requests that it runs at once; more are shed.
-        cold_start_ms: Time after its start in which it sheds everything.
-        work_ms: Work of a request that does not say so itself.
-        healthy: What its health page says; it may mislead.
-        runs: How often each `x-run-id` ran.
-        busy: Requests under way.
-        shed: Requests that were turned away.
-        cancelled: Requests whose caller went away.
+        upstream: Name of the instance's upstream.
+        slots: Requests that the instance runs at once; it sheds further
+            requests.
+        cold_start_ms: Has no effect.
+        work_ms: Service time of a request without `x-work-ms`.
+        healthy: Whether the health page reports the instance as healthy;
+            independent of the instance's real state.
+        runs: Number of runs, by `x-run-id`.
+        busy: Number of requests that are running.
+        shed: Number of requests that were shed.
+        cancelled: Number of requests that were cancelled.
         crashes: Whether `x-crash` ends the process.
-        crashed: Set once it crashed.
-        draining: What its announcements say.
-        instance: Names this start of the instance in its announcements.
-        arrivals: Requests that arrived, whatever became of them.
+        crashed: Set before the process ends by `x-crash`.
+        draining: Value of `draining` in the announcements.
+        instance: Id of this start of the instance, sent in announcements.
+        arrivals: Number of requests that arrived, shed requests included.
     """
 
     name: str
@@ -61,21 +63,23 @@
         if scope["type"] != "http":
             return
         if scope["path"] == "/runs":
-            await _answer(send, 200, json.dumps(self.runs).encode())
+            await _send_response(send, 200, json.dumps(self.runs).encode())
             return
         if scope["path"] == "/health":
             status = 200 if self.healthy else 503
-            await _answer(send, status, b"{}")
+            await _send_response(send, status, b"{}")
             return
-        await self._work(scope, receive, send)
+        await self._handle_request(scope, receive, send)
 
-    async def _work(self, scope: Any, receive: Any, send: Any) -> None:
+    async def _handle_request(
+        self, scope: Any, receive: Any, send: Any
+    ) -> None:
         self.arrivals += 1
         headers = dict(scope["headers"])
         body = await _read_body(receive)
         if self.busy >= self.slots:
             self.shed += 1
-            await _answer(send, 503, b'{"shed": true}')
+            await _send_response(send, 503, b'{"shed": true}')
             return
         self.busy += 1
         try:
@@ -105,7 +109,7 @@
         }
         data = json.dumps(document).encode()
         size = int(headers.get(b"x-size", b"0"))
-        await _answer(send, 200, data + b" " * max(0, size - len(data)))
+        await _send_response(send, 200, data + b" " * max(0, size - len(data)))
 
 
 async def _read_body(receive: Any) -> bytes:
@@ -117,7 +121,7 @@
             return b"".join(chunks)
 
 
-async def _answer(send: Any, status: int, body: bytes) -> None:
+async def _send_response(send: Any, status: int, body: bytes) -> None:
     headers = [
         (b"content-type", b"application/json"),
         (b"content-length", b"%d" % len(body)),
@@ -129,7 +133,7 @@
 
 
 def announcement(service: UpstreamService, address: str) -> dict[str, Any]:
-    """Returns what an instance tells the node beside it."""
+    """Returns the document that an instance announces to its node."""
     return {
         "upstream": service.upstream,
         "address": address,
@@ -144,8 +148,8 @@
 
     Args:
         service: The instance.
-        address: Its address.
-        admin: Address of the node's own pages.
+        address: Address of the instance.
+        admin: Admin address of the node.
     """
     url = f"http://{admin}/v1/target"
     async with aiohttp.ClientSession() as session:
