--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/claims_support.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/claims_support.py
@@ -1,4 +1,4 @@
-"""What the tests of idempotency keys share."""
+"""Helpers that the tests of idempotency keys share."""
 
 import asyncio
 import itertools
@@ -22,11 +22,11 @@
         }
     ],
 }
-Answer = tuple[int, dict[str, str], bytes]
+Response = tuple[int, dict[str, str], bytes]
 
 
 @asynccontextmanager
-async def started(
+async def started_mesh(
     nodes: int = 3, **overrides: dict[str, Any]
 ) -> AsyncIterator[TestMesh]:
     async with TestMesh(overrides=overrides) as mesh:
@@ -47,53 +47,60 @@
         yield mesh
 
 
-async def order(
+async def send_order(
     mesh: TestMesh,
     node: str,
     key: str,
     body: bytes = b"3 lipsticks",
-    **more: str,
-) -> Answer:
+    **extra_headers: str,
+) -> Response:
     headers = {
         "idempotency-key": key,
         "x-run-id": key,
-        **{name.replace("_", "-"): value for name, value in more.items()},
+        **{
+            name.replace("_", "-"): value
+            for name, value in extra_headers.items()
+        },
     }
-    status, found, answer = await mesh.request(
+    status, received, answer = await mesh.request(
         node, SERVICE, "/reorders", "POST", headers=headers, data=body
     )
-    lower = {name.lower(): value for name, value in found.items()}
-    return status, lower, answer
+    lower_case = {name.lower(): value for name, value in received.items()}
+    return status, lower_case, answer
 
 
-def runs(mesh: TestMesh, key: str) -> int:
+def run_count(mesh: TestMesh, key: str) -> int:
     return sum(item.service.runs[key] for item in mesh.targets.values())
 
 
-def kind(answer: Answer) -> str:
+def error_kind(answer: Response) -> str:
     return answer[1].get("x-pomelobank-error", "answered")
 
 
-def shard(key: str) -> int:
+def shard_of_key(key: str) -> int:
     """Returns the shard of a caller's key."""
     return shard_of(claim_key(scoped_key(SERVICE, key)))
 
 
-def same_shard(key: str) -> str:
+def other_key_of_shard(key: str) -> str:
     """Returns another key of the same shard."""
-    others = (f"other-{number}" for number in itertools.count())
-    return next(other for other in others if shard(other) == shard(key))
+    candidates = (f"other-{number}" for number in itertools.count())
+    return next(
+        other
+        for other in candidates
+        if shard_of_key(other) == shard_of_key(key)
+    )
 
 
 def claimants(key: str, nodes: int = 3) -> list[str]:
     """Returns the nodes in the order in which they claim a key."""
     return rank_claimants(
-        shard(key), [f"node-{index}" for index in range(nodes)]
+        shard_of_key(key), [f"node-{index}" for index in range(nodes)]
     )
 
 
-async def until_running(mesh: TestMesh, key: str) -> str:
-    """Waits until a request runs; returns the node beside its target."""
+async def wait_running(mesh: TestMesh, key: str) -> str:
+    """Waits until a target runs the request; returns the target's node."""
     async with asyncio.timeout(10):
         while True:
             for name, target in mesh.targets.items():
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_config_faults.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_config_faults.py
@@ -1,7 +1,8 @@
-"""The configuration when things fail, with nodes as processes of their own.
+"""Distribution of the configuration under faults, with node processes.
 
-During every test all nodes are read over and over: no version may go back,
-and nodes of one version must agree object for object.
+During every test `ConfigWatch` reads the configuration of all nodes
+repeatedly: the version of a node must never decrease, and nodes at the same
+version must hold equal objects.
 """
 
 import asyncio
@@ -33,7 +34,7 @@
     put_upstream,
 )
 
-FAST: dict[str, Any] = {
+FAST_SETTINGS: dict[str, Any] = {
     "distribution": {
         "heartbeat_ms": 100,
         "silence_ms": 1500,
@@ -42,7 +43,7 @@
     "membership": {"period_ms": 100},
     "log": {"long_poll_ms": 500, "timeout_ms": 400},
 }
-DESK = (
+DESK_OPERATIONS = (
     put_service("desk"),
     put_upstream("main", "desk"),
     put_route("desk", "main"),
@@ -50,10 +51,10 @@
 
 
 @asynccontextmanager
-async def fleet(
+async def running_fleet(
     count: int, **overrides: Any
 ) -> AsyncIterator[tuple[TestMesh, ConfigWatch]]:
-    async with TestMesh({**FAST, **overrides}) as mesh:
+    async with TestMesh({**FAST_SETTINGS, **overrides}) as mesh:
         await asyncio.gather(
             *(mesh.add_node(f"n{index}", "hobart") for index in range(count))
         )
@@ -67,21 +68,22 @@
 
 
 async def test_log_outage() -> None:
-    """The platform's log goes down while operators work.
+    """The log goes down while operators apply changes.
 
-    An operator must learn that nothing is certain, callers must go on being
-    routed, and the change must be possible once the log is back.
+    The operator must get the status `CHANGE_UNKNOWN`, the nodes must keep
+    their configuration, and a repeat of the change must be accepted once the
+    log has recovered.
     """
-    async with fleet(3) as (mesh, watch):
-        first = await watch.apply("n0", *DESK)
+    async with running_fleet(3) as (mesh, watch):
+        first = await watch.apply("n0", *DESK_OPERATIONS)
         await watch.wait_all(first.version)
         mesh.log.faults = LogFaults(outage=True)
         change = put_route("desk", "main", "/stock")
         reply = await watch.apply("n1", change, change_id="during-outage")
         assert reply.status == pb.CHANGE_UNKNOWN
         assert reply.problems[0].kind == "log_refused"
-        asked = await watch.change("n2", "during-outage")
-        assert asked.problems[0].kind == "log_silent"
+        outcome = await watch.change("n2", "during-outage")
+        assert outcome.problems[0].kind == "log_silent"
         assert (await watch.config("n2")).version == first.version
         for node in mesh.nodes:
             await wait_log_state(watch, node, "down")
@@ -89,8 +91,11 @@
         reply = await watch.apply("n1", change, change_id="during-outage")
         assert reply.status == pb.CHANGE_ACCEPTED
         await watch.wait_all(reply.version)
-        asked = await watch.change("n2", "during-outage")
-        assert (asked.status, asked.version) == (reply.status, reply.version)
+        outcome = await watch.change("n2", "during-outage")
+        assert (outcome.status, outcome.version) == (
+            reply.status,
+            reply.version,
+        )
         for node in mesh.nodes:
             await wait_log_state(watch, node, "up")
         other = await watch.apply(
@@ -115,15 +120,16 @@
         pytest.param(LogFaults(delay_ms=150), id="slow"),
     ],
 )
-async def test_append_without_a_clear_answer(faults: LogFaults) -> None:
-    """An append takes effect while its answer is lost, or comes slowly.
+async def test_append_with_a_lost_or_slow_response(faults: LogFaults) -> None:
+    """An append takes effect, but its response is lost or delayed.
 
-    A node that took this for a failure and appended again would apply the
-    change twice; one that guessed would tell the operator something wrong.
+    A node that treats this as a failure and appends again would apply the
+    change twice. A node that guesses the result could report a wrong status
+    to the operator.
     """
-    async with fleet(2) as (mesh, watch):
+    async with running_fleet(2) as (mesh, watch):
         mesh.log.faults = faults
-        reply = await watch.apply("n0", *DESK)
+        reply = await watch.apply("n0", *DESK_OPERATIONS)
         assert reply.status == pb.CHANGE_ACCEPTED
         mesh.log.faults = LogFaults()
         await watch.wait_all(reply.version)
@@ -131,12 +137,13 @@
 
 
 async def test_two_operators_race_on_one_route() -> None:
-    """Two operators read the same route and both write it.
+    """Operators read the same route and write it concurrently.
 
-    If both were accepted, one would have undone the other without a word.
+    If the nodes accepted more than one write, the later would silently
+    overwrite the earlier.
     """
-    async with fleet(3) as (_, watch):
-        first = await watch.apply("n0", *DESK)
+    async with running_fleet(3) as (_, watch):
+        first = await watch.apply("n0", *DESK_OPERATIONS)
         await watch.wait_all(first.version)
         replies = await asyncio.gather(
             *(
@@ -153,7 +160,7 @@
         await watch.wait_all(max(reply.version for reply in replies))
 
 
-def bad_in_its_last_part(change_id: str) -> ChangeRecord:
+def change_with_bad_last_operation(change_id: str) -> ChangeRecord:
     destination = WeightedDestination(upstream="missing", weight=1)
     route = RouteObject(
         name="bad",
@@ -171,23 +178,23 @@
 
 
 async def test_bad_configuration_reaches_the_log() -> None:
-    """A faulty or outdated node appends what its own check should refuse.
+    """A faulty or outdated node appends an invalid change to the log.
 
-    If any node applied the good part of it, or a route that points nowhere,
-    callers would get errors that no operator has asked for.
+    If another node applied the valid operations of the change, or a route to
+    a missing upstream, callers would get errors that no operator caused.
     """
-    async with fleet(2) as (mesh, watch):
+    async with running_fleet(2) as (mesh, watch):
         stream = mesh.log.stream("config")
-        stream.append(encode(bad_in_its_last_part("bad")))
+        stream.append(encode(change_with_bad_last_operation("bad")))
         stream.append(b"not a record")
-        reply = await watch.apply("n1", *DESK)
+        reply = await watch.apply("n1", *DESK_OPERATIONS)
         assert reply.version == 3
-        found = await watch.wait_all(3)
-        kinds = {item.WhichOneof("object") for item in found.objects}
-        assert (len(found.objects), len(kinds)) == (3, 3)
-        asked = await watch.change("n0", "bad")
-        assert asked.status == pb.CHANGE_REJECTED
-        assert asked.problems[0].kind == "missing_reference"
+        config = await watch.wait_all(3)
+        kinds = {item.WhichOneof("object") for item in config.objects}
+        assert (len(config.objects), len(kinds)) == (3, 3)
+        outcome = await watch.change("n0", "bad")
+        assert outcome.status == pb.CHANGE_REJECTED
+        assert outcome.problems[0].kind == "missing_reference"
         refused = await watch.apply("n0", put_route("nothing", "main"))
         assert refused.status == pb.CHANGE_REJECTED
         assert stream.end_offset == 3
@@ -204,53 +211,59 @@
     await writer.wait_closed()
 
 
-async def test_pushes_cross_and_repeat() -> None:
-    """A peer that was paused sends what it held back: old, twice, with gaps.
+async def test_pushes_arrive_late_repeated_and_with_gaps() -> None:
+    """A resumed peer sends delayed pushes: old, repeated and with gaps.
 
-    A node that took such a push at its word would go back to old routes, or
-    skip a change that all others have.
+    A node that applied such a push unchecked would return to old routes, or
+    skip a change that all other nodes have.
     """
-    async with fleet(2) as (mesh, watch):
+    async with running_fleet(2) as (mesh, watch):
         for path in ("/a", "/b", "/c"):
             reply = await watch.apply(
-                "n0", *DESK[:2], put_route("desk", "main", path)
+                "n0", *DESK_OPERATIONS[:2], put_route("desk", "main", path)
             )
         expected = await watch.wait_all(reply.version)
-        kept = tuple(mesh.log.stream("config").records)
+        log_records = tuple(mesh.log.stream("config").records)
         old = SnapshotRecord(as_of=1, node="late-peer")
         await push(
             mesh.nodes["n1"].addresses["peer"],
-            RecordsPush(first_offset=0, records=kept),
-            RecordsPush(first_offset=1, records=kept[1:2] * 2),
-            RecordsPush(first_offset=7, records=kept),
+            RecordsPush(first_offset=0, records=log_records),
+            RecordsPush(first_offset=1, records=log_records[1:2] * 2),
+            RecordsPush(first_offset=7, records=log_records),
             SnapshotPush(data=encode(old)),
             SnapshotPush(data=b"garbage"),
-            RecordsPush(first_offset=0, records=kept[:1]),
+            RecordsPush(first_offset=0, records=log_records[:1]),
         )
-        # The node mends itself within a heartbeat, so look at once and often.
+        # The node recovers a wrong state within a heartbeat, so the test checks
+        # at once and often.
         for _ in range(40):
-            found = await watch.config("n1")
-            assert list(found.objects) == list(expected.objects)
+            config = await watch.config("n1")
+            assert list(config.objects) == list(expected.objects)
         reply = await watch.apply("n0", put_service("after"))
-        found = await watch.wait_all(reply.version)
-        routes = [item for item in found.objects if item.HasField("route")]
-        known = [item for item in expected.objects if item.HasField("route")]
-        assert routes == known
+        config = await watch.wait_all(reply.version)
+        routes = [item for item in config.objects if item.HasField("route")]
+        expected_routes = [
+            item for item in expected.objects if item.HasField("route")
+        ]
+        assert routes == expected_routes
 
 
 @pytest.mark.parametrize("mode", ["readers", "every_node_polls"])
 async def test_records_trimmed_before_a_node_reads_them(mode: str) -> None:
-    """A node is frozen for longer than the log keeps records; one starts late.
+    """A node freezes for longer than the log keeps records; another joins late.
 
-    Without a snapshot neither could ever get the configuration again.
+    The log has trimmed the records that both nodes lack. Without a snapshot
+    neither node could ever obtain the configuration.
     """
-    distribution = {**FAST["distribution"], "mode": mode}
+    distribution = {**FAST_SETTINGS["distribution"], "mode": mode}
     snapshots = {"retention_records": 9, "rank_delay_ms": 50}
-    async with fleet(3, distribution=distribution, snapshots=snapshots) as (
+    async with running_fleet(
+        3, distribution=distribution, snapshots=snapshots
+    ) as (
         mesh,
         watch,
     ):
-        first = await watch.apply("n0", *DESK, change_id="first")
+        first = await watch.apply("n0", *DESK_OPERATIONS, change_id="first")
         await watch.wait_all(first.version)
         mesh.nodes["n2"].signal(signal.SIGSTOP)
         for path in ("/a", "/b", "/c", "/d", "/e"):
@@ -262,37 +275,38 @@
         mesh.nodes["n2"].signal(signal.SIGCONT)
         await mesh.add_node("n3", "hobart")
         await watch.wait_all(reply.version)
-        repeated = await watch.apply("n3", *DESK, change_id="first")
+        repeated = await watch.apply("n3", *DESK_OPERATIONS, change_id="first")
         assert repeated.version == first.version
         entries = await watch.stub("n3").GetAudit(pb.AuditRequest())
         assert entries.entries[-1].change_id == "first"
 
 
 async def test_log_outage_during_a_cold_start() -> None:
-    """A node is replaced while the log is down; later all nodes are.
+    """Two nodes start while the log is down, only one of them with a peer.
 
-    The first must learn the configuration from its peers and serve no older
-    one. A node without peers knows nothing: it must refuse, not guess.
+    The node with a peer must get the current configuration from the peer. The
+    node without peers has no configuration, so this node must reject requests
+    as `not_ready` until the log has recovered.
     """
-    async with fleet(2) as (mesh, watch):
-        reply = await watch.apply("n0", *DESK)
+    async with running_fleet(2) as (mesh, watch):
+        reply = await watch.apply("n0", *DESK_OPERATIONS)
         await watch.wait_all(reply.version)
         mesh.log.faults = LogFaults(outage=True)
         seed = mesh.nodes["n0"].addresses["peer"]
-        membership = {**FAST["membership"], "seeds": [seed]}
+        membership = {**FAST_SETTINGS["membership"], "seeds": [seed]}
         mesh.overrides["membership"] = membership
         await mesh.add_node("n2", "hobart")
         await watch.wait_all(reply.version)
-        await wait_answer(mesh, "n2", "no_target")
-        mesh.overrides["membership"] = FAST["membership"]
+        await wait_error(mesh, "n2", "no_target")
+        mesh.overrides["membership"] = FAST_SETTINGS["membership"]
         await mesh.add_node("n3", "burnie")
-        await wait_answer(mesh, "n3", "not_ready")
+        await wait_error(mesh, "n3", "not_ready")
         mesh.log.faults = LogFaults()
-        await wait_answer(mesh, "n3", "no_target")
+        await wait_error(mesh, "n3", "no_target")
         assert (await watch.config("n3")).version >= reply.version
 
 
-async def wait_answer(mesh: TestMesh, node: str, error: str) -> None:
+async def wait_error(mesh: TestMesh, node: str, error: str) -> None:
     async with asyncio.timeout(15):
         while True:
             _, headers, _ = await mesh.request(node, "desk", "/")
@@ -305,16 +319,17 @@
 async def test_readers_die_and_freeze() -> None:
     """Both readers of a data centre fail: one is killed, one is frozen.
 
-    The others would never hear of a change again if they only waited for the
-    readers; and the frozen one must not bring old routes when it returns.
+    The other nodes would receive no further change if they relied on the
+    readers alone. The frozen reader must not spread old routes when it
+    resumes.
     """
-    async with fleet(5) as (mesh, watch):
-        first = await watch.apply("n0", *DESK)
+    async with running_fleet(5) as (mesh, watch):
+        first = await watch.apply("n0", *DESK_OPERATIONS)
         await watch.wait_all(first.version)
         killed, frozen = readers(mesh)
         await mesh.nodes.pop(killed).kill()
         mesh.nodes[frozen].signal(signal.SIGSTOP)
-        awake = [name for name in mesh.nodes if name != frozen]
+        running = [name for name in mesh.nodes if name != frozen]
         record = ChangeRecord(
             change_id="from-elsewhere",
             operations=(
@@ -322,40 +337,40 @@
             ),
         )
         mesh.log.stream("config").append(encode(record))
-        await watch.wait_all(first.version + 1, awake)
-        reply = await watch.apply(awake[0], put_route("desk", "main", "/b"))
-        await watch.wait_all(reply.version, awake)
+        await watch.wait_all(first.version + 1, running)
+        reply = await watch.apply(running[0], put_route("desk", "main", "/b"))
+        await watch.wait_all(reply.version, running)
         mesh.nodes[frozen].signal(signal.SIGCONT)
         await watch.wait_all(reply.version)
 
 
-async def test_a_frozen_node_wakes_with_an_append_in_its_hands() -> None:
-    """A node freezes with an operator's change that it has not yet appended.
+async def test_a_frozen_node_resumes_with_a_pending_append() -> None:
+    """A node freezes before it appends an operator's change.
 
-    The operator sends it again elsewhere, where it is accepted and later
-    replaced. If the append that comes much later counted, it would bring the
-    old route back.
+    The operator repeats the change through another node, which accepts the
+    change, and a newer change replaces it. If the late append of the frozen
+    node took effect, it would restore the old route.
     """
-    async with fleet(3) as (mesh, watch):
-        first = await watch.apply("n0", *DESK)
+    async with running_fleet(3) as (mesh, watch):
+        first = await watch.apply("n0", *DESK_OPERATIONS)
         await watch.wait_all(first.version)
         mesh.nodes["n0"].signal(signal.SIGSTOP)
         old = put_route("desk", "main", "/old")
         with pytest.raises(grpc.aio.AioRpcError):
             await watch.apply("n0", old, change_id="old", timeout_s=0.3)
-        again = await watch.apply("n1", old, change_id="old")
-        assert again.status == pb.CHANGE_ACCEPTED
+        repeated = await watch.apply("n1", old, change_id="old")
+        assert repeated.status == pb.CHANGE_ACCEPTED
         newer = await watch.apply("n2", put_route("desk", "main", "/new"))
-        # What the frozen node does when it continues, at its worst.
+        # Simulates the late append of the frozen node when it resumes.
         stream = mesh.log.stream("config")
-        stream.append(stream.records[again.version - 1])
+        stream.append(stream.records[repeated.version - 1])
         mesh.nodes["n0"].signal(signal.SIGCONT)
-        found = await watch.wait_all(newer.version + 1)
+        config = await watch.wait_all(newer.version + 1)
         paths = [
             item.route.path_prefix
-            for item in found.objects
+            for item in config.objects
             if item.HasField("route")
         ]
         assert paths == ["/new"]
-        asked = await watch.change("n0", "old")
-        assert asked.version == again.version
+        outcome = await watch.change("n0", "old")
+        assert outcome.version == repeated.version
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_config_model.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_config_model.py
@@ -1,8 +1,8 @@
 """Model checking of the replicated configuration.
 
-Each search is complete within its bounds. Each counterexample is what the
-checker found with one guard removed, the shortest there is; walked with all
-guards in place, the same steps do no harm.
+Each search is exhaustive within its bounds. Each counterexample is the
+shortest that the checker found with one safety check removed; with all safety
+checks in place, the same steps violate no invariant.
 """
 
 from types import MappingProxyType
@@ -29,9 +29,12 @@
     service_change,
 )
 
-BLIND = {"x": service_change("x"), "y": service_change("y")}
-RACING = {"x": service_change("x", 0), "y": service_change("y", 0)}
-BROKEN = {"x": service_change("x", 0), "z": service_change("z", broken=True)}
+UNCONDITIONAL_CHANGES = {"x": service_change("x"), "y": service_change("y")}
+RACING_CHANGES = {"x": service_change("x", 0), "y": service_change("y", 0)}
+CHANGES_WITH_INVALID = {
+    "x": service_change("x", 0),
+    "z": service_change("z", broken=True),
+}
 MAX_STATES = 200_000
 
 
@@ -39,28 +42,28 @@
     ("changes", "bounds", "states"),
     [
         pytest.param(
-            BLIND,
+            UNCONDITIONAL_CHANGES,
             Bounds({"x": 2}, snapshots=1, restarts=1, trims=1),
             38_264,
             id="repeated-change-snapshot-trim-restarts",
         ),
         pytest.param(
-            BLIND,
+            UNCONDITIONAL_CHANGES,
             Bounds({"x": 2, "y": 1}, snapshots=1, restarts=0, trims=1),
             17_272,
             id="repeated-and-crossed-changes-snapshot-trim",
         ),
         pytest.param(
-            RACING,
+            RACING_CHANGES,
             Bounds({"x": 1, "y": 1}, snapshots=1, restarts=0, trims=2),
             5_334,
             id="racing-operators-snapshot-trim",
         ),
         pytest.param(
-            BROKEN,
+            CHANGES_WITH_INVALID,
             Bounds({"x": 1, "z": 1}, snapshots=0, restarts=1, trims=0),
             1_835,
-            id="bad-last-part-restarts",
+            id="bad-last-operation-restarts",
         ),
     ],
 )
@@ -77,57 +80,59 @@
     assert result["reachable_states"] == states
 
 
-def out_of_order(
+def advance_at_any_offset(
     state: ConfigState, offset: int, record: ChangeRecord | None
 ) -> ConfigState:
-    moved = attrs.evolve(state.snapshot, version=offset)
-    return advance(attrs.evolve(state, snapshot=moved), offset, record)
+    snapshot = attrs.evolve(state.snapshot, version=offset)
+    return advance(attrs.evolve(state, snapshot=snapshot), offset, record)
 
 
-def forget_change_ids(
+def advance_without_change_ids(
     state: ConfigState, offset: int, record: ChangeRecord | None
 ) -> ConfigState:
     if record is None or offset != state.snapshot.version:
         return advance(state, offset, record)
-    others = {
+    decisions_kept = {
         change_id: verdict
         for change_id, verdict in state.decisions.items()
         if change_id != record.change_id
     }
-    fresh = attrs.evolve(state, decisions=MappingProxyType(others))
-    return advance(fresh, offset, record)
+    state_without_id = attrs.evolve(
+        state, decisions=MappingProxyType(decisions_kept)
+    )
+    return advance(state_without_id, offset, record)
 
 
-def forget_audit(state: ConfigState) -> SnapshotRecord:
+def snapshot_without_audit(state: ConfigState) -> SnapshotRecord:
     return attrs.evolve(snapshot_record(state), audit=())
 
 
-def take_any_snapshot(
+def adopt_any_snapshot(
     _: ConfigState, record: SnapshotRecord
 ) -> Result[ConfigState, tuple[Problem, ...]]:
     return restore_snapshot(record)
 
 
-def serve_at_once(_: MinServingVersion, __: int) -> bool:
+def ready_at_once(_: MinServingVersion, __: int) -> bool:
     return True
 
 
-def trust_new_peers(floor: MinServingVersion, version: int) -> bool:
-    if floor.known_version:
-        floor.first_ready_ms = 0
-    return floor.update(version, 0)
+def ready_after_any_peer(min_version: MinServingVersion, version: int) -> bool:
+    if min_version.known_version:
+        min_version.first_ready_ms = 0
+    return min_version.update(version, 0)
 
 
-def small(**limits: int) -> Bounds:
-    return Bounds({"x": 2, "y": 1}, **{**NOTHING, **limits})
+def small_bounds(**limits: int) -> Bounds:
+    return Bounds({"x": 2, "y": 1}, **{**ZERO_LIMITS, **limits})
 
 
-NOTHING = {"snapshots": 0, "restarts": 0, "trims": 0}
+ZERO_LIMITS = {"snapshots": 0, "restarts": 0, "trims": 0}
 
 COUNTEREXAMPLES = [
     pytest.param(
-        FunctionsUnderTest(advance=out_of_order),
-        small(),
+        FunctionsUnderTest(advance=advance_at_any_offset),
+        small_bounds(),
         "no_node_goes_back",
         [
             "append of x takes effect",
@@ -139,8 +144,8 @@
         id="push-out-of-order",
     ),
     pytest.param(
-        FunctionsUnderTest(advance=forget_change_ids),
-        small(),
+        FunctionsUnderTest(advance=advance_without_change_ids),
+        small_bounds(),
         "replay_is_as_specified",
         [
             "append of x takes effect",
@@ -151,8 +156,8 @@
         id="repeated-change-id",
     ),
     pytest.param(
-        FunctionsUnderTest(snapshot=forget_audit),
-        small(snapshots=1),
+        FunctionsUnderTest(snapshot=snapshot_without_audit),
+        small_bounds(snapshots=1),
         "replay_is_as_specified",
         [
             "append of x takes effect",
@@ -163,8 +168,8 @@
         id="snapshot-without-change-ids",
     ),
     pytest.param(
-        FunctionsUnderTest(adopt=take_any_snapshot),
-        small(snapshots=1),
+        FunctionsUnderTest(adopt=adopt_any_snapshot),
+        small_bounds(snapshots=1),
         "no_node_goes_back",
         [
             "node 0 reads",
@@ -176,8 +181,8 @@
         id="late-snapshot",
     ),
     pytest.param(
-        FunctionsUnderTest(ready=serve_at_once),
-        small(restarts=1),
+        FunctionsUnderTest(ready=ready_at_once),
+        small_bounds(restarts=1),
         "no_restart_serves_older",
         [
             "append of x takes effect",
@@ -185,11 +190,11 @@
             "node 0 restarts",
             "digest of 1 reaches node 0",
         ],
-        id="no-floor",
+        id="no-min-serving-version",
     ),
     pytest.param(
-        FunctionsUnderTest(ready=trust_new_peers),
-        small(restarts=1),
+        FunctionsUnderTest(ready=ready_after_any_peer),
+        small_bounds(restarts=1),
         "no_restart_serves_older",
         [
             "append of x takes effect",
@@ -200,13 +205,14 @@
             "node 0 restarts",
             "push of 0 reaches node 0",
         ],
-        id="new-peers-as-witnesses",
+        id="unready-peers-trusted",
     ),
-    # No guard but a limit: a node that dies within the moment in which its
-    # news travels, while the log is down, cannot learn how new it was.
+    # This case shows a limit of the design rather than a missing safety check:
+    # a node that dies before its peers have received its version, while the
+    # log is down, cannot learn after the restart which version it served.
     pytest.param(
         FunctionsUnderTest(announced=False),
-        small(restarts=1),
+        small_bounds(restarts=1),
         "no_restart_serves_older",
         [
             "node 0 reads",
@@ -215,40 +221,40 @@
             "node 1 restarts",
             "digest of 0 reaches node 1",
         ],
-        id="died-before-telling",
+        id="died-before-peers-were-notified",
     ),
 ]
 
 
 @pytest.mark.parametrize(
-    ("rules", "bounds", "invariant", "expected"), COUNTEREXAMPLES
+    ("functions", "bounds", "invariant", "expected"), COUNTEREXAMPLES
 )
-def test_counterexample_without_a_guard(
-    rules: FunctionsUnderTest,
+def test_counterexample_without_a_safety_check(
+    functions: FunctionsUnderTest,
     bounds: Bounds,
     invariant: str,
     expected: list[str],
 ) -> None:
-    model = ConfigModel(BLIND, bounds, rules)
+    model = ConfigModel(UNCONDITIONAL_CHANGES, bounds, functions)
     check = model.invariants()[invariant]
-    assert not check(walk(model, expected))
-    guarded = ConfigModel(BLIND, bounds)
-    assert guarded.invariants()[invariant](walk(guarded, expected))
+    assert not check(run_steps(model, expected))
+    safe_model = ConfigModel(UNCONDITIONAL_CHANGES, bounds)
+    assert safe_model.invariants()[invariant](run_steps(safe_model, expected))
 
 
 @pytest.mark.parametrize(
-    ("rules", "bounds", "invariant", "expected"), COUNTEREXAMPLES
+    ("functions", "bounds", "invariant", "expected"), COUNTEREXAMPLES
 )
-def test_the_checker_finds_it(
-    rules: FunctionsUnderTest,
+def test_the_checker_finds_the_counterexample(
+    functions: FunctionsUnderTest,
     bounds: Bounds,
     invariant: str,
     expected: list[str],
 ) -> None:
-    changes = {"x": BLIND["x"]}
+    changes = {"x": UNCONDITIONAL_CHANGES["x"]}
     sends = {"x": bounds.sends["x"]}
     smaller = attrs.evolve(bounds, sends=sends)
-    protocol = ConfigModel(changes, smaller, rules).protocol()
+    protocol = ConfigModel(changes, smaller, functions).protocol()
     result = minicheck.check_safety(protocol, max_states=MAX_STATES)
     found = result["properties"][invariant]
     assert found["holds"] is False
@@ -256,8 +262,8 @@
     assert len(labels) == len(expected)
 
 
-def walk(model: ConfigModel, labels: list[str]) -> ModelState:
-    world = ModelState()
+def run_steps(model: ConfigModel, labels: list[str]) -> ModelState:
+    state = ModelState()
     for label in labels:
-        world = dict(model.steps(world)).get(label, world)
-    return world
+        state = dict(model.steps(state)).get(label, state)
+    return state
