--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_chaos.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_chaos.py
@@ -1,4 +1,4 @@
-"""Faults one upon the other while callers and operators go on."""
+"""Overlapping faults during requests and configuration changes."""
 
 import pytest
 
@@ -8,16 +8,16 @@
 @pytest.mark.parametrize(
     "seed",
     [
-        pytest.param(1, id="herd of returns meets keyed requests"),
-        pytest.param(5, id="another order"),
+        pytest.param(1, id="many restarts at once during keyed requests"),
+        pytest.param(5, id="another order of faults"),
     ],
 )
-async def test_nothing_breaks_under_faults(seed: int) -> None:
-    """Nodes die alone and in herds, freeze, and the log fails.
+async def test_guarantees_hold_under_faults(seed: int) -> None:
+    """Nodes die one by one or several at once, freeze, and the log fails.
 
-    A caller would notice an answer that belongs to another, a request that ran
-    twice, one that ran although it was told it did not, or a route that is
-    suddenly unknown; an operator would notice an accepted change that is gone.
+    Each of these is recorded as a problem: a response to another caller's
+    request, a request that ran twice or ran despite a `not-run` response, a
+    known route answered with `no_route`, and a lost accepted change.
     """
     chaos = await run_chaos(seed, nodes=4, faults=3, callers=4)
     assert chaos.problems == []
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_large_bodies.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_large_bodies.py
@@ -1,4 +1,4 @@
-"""Archives and uploads beside short look-ups, through a peer."""
+"""Large request and response bodies beside short requests, through a peer."""
 
 import asyncio
 import contextlib
@@ -31,7 +31,7 @@
 
 
 @contextlib.asynccontextmanager
-async def started() -> AsyncIterator[TestMesh]:
+async def started_mesh() -> AsyncIterator[TestMesh]:
     async with TestMesh() as mesh:
         service = UpstreamService("owner", "main", slots=20)
         await mesh.add_node("owner", "hobart", service)
@@ -43,7 +43,7 @@
         yield mesh
 
 
-async def _is(value: int) -> bool:
+async def _is_nonzero(value: int) -> bool:
     return bool(value)
 
 
@@ -62,28 +62,28 @@
     await _wait_until(is_served)
 
 
-def url(mesh: TestMesh, node: str) -> str:
+def archive_url(mesh: TestMesh, node: str) -> str:
     return f"http://{mesh.nodes[node].addresses['http']}/archive"
 
 
 @pytest.fixture
 async def mesh() -> AsyncIterator[TestMesh]:
-    async with started() as running:
+    async with started_mesh() as running:
         yield running
 
 
-async def _parts(size: int) -> AsyncIterator[bytes]:
+async def _body_chunks(size: int) -> AsyncIterator[bytes]:
     for _ in range(size // MIB):
         yield bytes(MIB)
 
 
-async def test_large_bodies_arrive_whole(mesh: TestMesh) -> None:
+async def test_large_bodies_arrive_complete(mesh: TestMesh) -> None:
     for entry in ("owner", "entry"):
         status, _, body = await mesh.request(
             entry, SERVICE, "/archive", headers={"x-size": str(5 * MIB)}
         )
         assert (status, len(body)) == (200, 5 * MIB)
-        for data in (bytes(5 * MIB), _parts(5 * MIB)):
+        for data in (bytes(5 * MIB), _body_chunks(5 * MIB)):
             status, _, body = await mesh.request(
                 entry, SERVICE, "/archive", "POST", data=data
             )
@@ -92,19 +92,19 @@
 
 
 async def test_callers_that_do_not_read(mesh: TestMesh) -> None:
-    """Auditors pull archives over a slow line while counters look up stock.
+    """Callers of large archives do not read while others send short requests.
 
-    Without flow control the archives pile up in both nodes; without turns the
-    look-up waits for all of them.
+    Without flow control the archives accumulate in the memory of both nodes.
+    Without interleaving of streams a short request waits for all archives.
     """
     assert mesh.session is not None
     pids = [node.process.pid for node in mesh.nodes.values()]
-    before = [resident_bytes(pid) for pid in pids]
+    bytes_before = [resident_bytes(pid) for pid in pids]
     headers = {"x-pomelobank-service": SERVICE, "x-size": str(40 * MIB)}
     async with contextlib.AsyncExitStack() as stack:
         responses = [
             await stack.enter_async_context(
-                mesh.session.get(url(mesh, "entry"), headers=headers)
+                mesh.session.get(archive_url(mesh, "entry"), headers=headers)
             )
             for _ in range(4)
         ]
@@ -113,25 +113,27 @@
                 "entry", SERVICE, f"/archive/{number}"
             )
             assert status == 200, body
-        grown = [
-            resident_bytes(pid) - earlier
-            for pid, earlier in zip(pids, before, strict=True)
+        growth_bytes = [
+            resident_bytes(pid) - earlier_bytes
+            for pid, earlier_bytes in zip(pids, bytes_before, strict=True)
         ]
-        assert max(grown) < 40 * MIB, grown
+        assert max(growth_bytes) < 40 * MIB, growth_bytes
         assert len(await responses[0].read()) == 40 * MIB
 
 
-async def test_target_that_breaks_off_an_answer(mesh: TestMesh) -> None:
-    """A target crashes in the middle of a revision history.
+async def test_target_that_breaks_off_a_response(mesh: TestMesh) -> None:
+    """A target closes its connection in the middle of a response body.
 
-    The head is with the caller already, so only the end of the connection can
-    say that the body is not whole.
+    The caller has already received the response head, so only a broken
+    connection can tell the caller that the body is incomplete.
     """
     headers = {"x-size": str(30 * MIB), "x-pomelobank-service": SERVICE}
     server = mesh.targets["owner"].server.server
     assert mesh.session is not None and server is not None
     for entry in ("owner", "entry"):
-        async with mesh.session.get(url(mesh, entry), headers=headers) as reply:
+        async with mesh.session.get(
+            archive_url(mesh, entry), headers=headers
+        ) as reply:
             assert reply.status == 200
             for connection in list(server.server_state.connections):
                 connection.transport.abort()
@@ -139,7 +141,7 @@
                 await reply.read()
 
 
-async def test_body_beyond_the_bound(mesh: TestMesh) -> None:
+async def test_body_above_the_size_limit(mesh: TestMesh) -> None:
     status, headers, body = await mesh.request(
         "entry", SERVICE, "/archive", "POST", data=bytes(65 * MIB)
     )
@@ -148,10 +150,14 @@
     assert json.loads(body)["run"] == "not-run"
 
 
-async def test_caller_that_has_gone_cancels_at_the_target(
+async def test_disconnected_caller_cancels_at_the_target(
     mesh: TestMesh,
 ) -> None:
-    """A caller gives up; its target should stop working for nobody."""
+    """A caller disconnects while its request runs.
+
+    The node must cancel the request at the target, since otherwise the target
+    would keep a slot busy for a response that no caller reads.
+    """
     service = mesh.targets["owner"].service
     for entry in ("owner", "entry"):
         service.cancelled = 0
@@ -160,6 +166,6 @@
                 entry, SERVICE, "/archive", headers={"x-work-ms": "15000"}
             )
         )
-        await _wait_until(lambda: _is(service.busy))
+        await _wait_until(lambda: _is_nonzero(service.busy))
         call.cancel()
-        await _wait_until(lambda: _is(service.cancelled))
+        await _wait_until(lambda: _is_nonzero(service.cancelled))
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_load.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_load.py
@@ -1,4 +1,4 @@
-"""More requests than the targets can run, through whole nodes."""
+"""Overload of the targets, through node processes."""
 
 import asyncio
 import json
@@ -22,12 +22,13 @@
 }
 
 
-async def test_flood_of_reorders() -> None:
-    """Counter managers send three hundred reorders within a moment.
+async def test_burst_of_reorders_to_started_targets() -> None:
+    """Callers send three hundred reorders at once to targets that just started.
 
-    The targets have just started: each runs one at first and lets two wait.
-    Whoever is refused must be able to send the reorder again without lodging
-    it twice, and must learn at once when that is worthwhile.
+    Each target runs one request at first and has room for two queued ones. A
+    refused request must not have run, so that its caller can repeat the
+    reorder without a duplicate, and the refusal must say at once after which
+    time a retry is worthwhile.
     """
     async with TestMesh() as mesh:
         targets = {
@@ -58,12 +59,12 @@
             after_ms = json.loads(body).get("retry_after_ms", 0)
             return code, run, after_ms
 
-        answers = await asyncio.gather(*(reorder(n) for n in range(300)))
+        responses = await asyncio.gather(*(reorder(n) for n in range(300)))
         runs = [
             sum(target.runs[str(number)] for target in targets.values())
             for number in range(300)
         ]
-        outcomes = list(zip(answers, runs, strict=True))
+        outcomes = list(zip(responses, runs, strict=True))
         assert max(runs) == 1
         assert all(run == 1 for (code, _, _), run in outcomes if code == 200)
         refused = [
@@ -73,4 +74,4 @@
         ]
         assert refused
         assert all(run == 0 and after_ms > 0 for after_ms, run in refused)
-        assert sum(code == 200 for code, _, _ in answers) >= 9
+        assert sum(code == 200 for code, _, _ in responses) >= 9
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_fleet.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_fleet.py
@@ -1,4 +1,4 @@
-"""Membership of many members under deaths, pauses and cuts, in memory."""
+"""Membership under crashes, pauses and network partitions, in memory."""
 
 import pytest
 
@@ -12,12 +12,12 @@
 DRAINING = MemberState.DRAINING.value
 GONE = MemberState.GONE.value
 MINUTE_MS = 60_000
-DATA_CENTRES = 6
-LARGE = 194
-# Callers come so long after the machines have started.
-UNTIL_CALLERS_MS = 12_000
-# A tenth of what a node may spend for control in all.
-FAR_BYTES_PER_S = 3_000
+DATA_CENTRE_COUNT = 6
+LARGE_MEMBER_COUNT = 194
+# Callers send requests this long after the machines have started.
+CALLERS_START_MS = 12_000
+# A tenth of a node's whole budget for control traffic.
+REMOTE_BYTES_PER_S_LIMIT = 3_000
 IDLE_LINK_MS = MembershipSettings().idle_link_ms
 
 
@@ -29,15 +29,15 @@
     return MemberFleet.entry(index).node
 
 
-def halves(fleet: MemberFleet, count: int) -> None:
-    """Cuts the first members off from the others."""
+def partition_first(fleet: MemberFleet, count: int) -> None:
+    """Partitions the network between the first members and the others."""
     first = {address(index) for index in range(count)}
     fleet.reachable = lambda source, destination: (
         (source in first) == (destination in first)
     )
 
 
-def test_a_quiet_fleet_suspects_nobody() -> None:
+def test_a_healthy_fleet_suspects_no_member() -> None:
     fleet = MemberFleet.of(20)
     fleet.run(MINUTE_MS)
     assert fleet.all_ready()
@@ -46,17 +46,17 @@
 
 @pytest.mark.parametrize(
     "count",
-    [pytest.param(3, id="small"), pytest.param(60, id="many")],
+    [pytest.param(3, id="small"), pytest.param(60, id="large")],
 )
-def test_a_dead_member_is_found_gone_by_all(count: int) -> None:
-    """Guards against work that is sent to a dead instance for long."""
+def test_all_members_mark_a_dead_member_as_gone(count: int) -> None:
+    """Guards against requests sent to a dead instance for a long time."""
     fleet = MemberFleet.of(count)
     fleet.remove(address(0))
     fleet.run_until(lambda: fleet.all_see(node(0), GONE), MINUTE_MS)
 
 
-def test_most_members_dying_at_once_leaves_the_others_ready() -> None:
-    """Guards against survivors that lose each other with the dead."""
+def test_survivors_of_many_crashes_stay_ready() -> None:
+    """Guards against survivors that also mark each other as gone."""
     fleet = MemberFleet.of(20)
     for index in range(4, 20):
         fleet.remove(address(index))
@@ -68,7 +68,7 @@
 
 
 def test_a_paused_member_is_gone_and_comes_back() -> None:
-    """Guards against a paused member that gets no work again."""
+    """Guards against a resumed member that gets no requests again."""
     fleet = MemberFleet.of(12)
     fleet.run(5_000)
     fleet.frozen = {address(3)}
@@ -81,8 +81,11 @@
     assert paused.table.refutations >= 1
 
 
-def test_one_broken_way_harms_nobody() -> None:
-    """Guards against a healthy member lost by one broken way."""
+def test_one_broken_link_direction_marks_no_member_as_gone() -> None:
+    """Guards against a healthy member marked as gone.
+
+    Frames from one member to one other are lost; all other links work.
+    """
     fleet = MemberFleet.of(6)
     broken = (address(0), address(1))
     fleet.reachable = lambda source, destination: (
@@ -92,10 +95,10 @@
     assert fleet.all_ready()
 
 
-def test_both_sides_of_a_cut_serve_and_meet_again() -> None:
-    """Guards against members taken out when a cut heals."""
+def test_both_sides_of_a_partition_serve_and_merge_again() -> None:
+    """Guards against members marked as gone when a partition heals."""
     fleet = MemberFleet.of(24)
-    halves(fleet, 12)
+    partition_first(fleet, 12)
     fleet.run_until(
         lambda: fleet.members[address(0)].table.others[node(23)].state == GONE,
         2 * MINUTE_MS,
@@ -103,11 +106,13 @@
     fleet.run(MINUTE_MS)
     for index in range(12):
         for other in range(12):
-            held = fleet.members[address(index)].table.others.get(node(other))
-            assert index == other or (held is not None and held.state == READY)
+            entry = fleet.members[address(index)].table.others.get(node(other))
+            assert index == other or (
+                entry is not None and entry.state == READY
+            )
     fleet.reachable = lambda source, destination: True
 
-    def no_neighbour_is_gone() -> bool:
+    def no_member_of_one_side_is_gone() -> bool:
         return all(
             fleet.members[address(index)].table.others[node(other)].state
             != GONE
@@ -117,13 +122,13 @@
         )
 
     while not fleet.all_ready():
-        assert no_neighbour_is_gone()
+        assert no_member_of_one_side_is_gone()
         assert fleet.now_ms < 10 * MINUTE_MS
         fleet.step()
 
 
-def test_a_drain_reaches_all_at_once_and_is_never_taken_back() -> None:
-    """Guards against work sent to a target that is about to leave."""
+def test_a_drain_reaches_all_members_and_is_never_reverted() -> None:
+    """Guards against requests sent to a target that is about to leave."""
     fleet = MemberFleet.of(40)
     drained = fleet.members[address(7)]
     drained.table.update_own(state=DRAINING)
@@ -134,8 +139,8 @@
     assert fleet.all_see(node(7), DRAINING)
 
 
-def test_a_herd_of_new_members_is_taken_in() -> None:
-    """Guards against a contact that a whole fleet overloads."""
+def test_many_members_join_through_one_contact() -> None:
+    """Guards against a contact overloaded by the syncs of a whole fleet."""
     fleet = MemberFleet()
     for index in range(60):
         fleet.add(fleet.entry(index))
@@ -145,8 +150,8 @@
     assert fleet.members[address(0)].throttled_syncs > 0
 
 
-def herd(count: int) -> MemberFleet:
-    """Returns members that start together and know one contact."""
+def started_at_once(count: int) -> MemberFleet:
+    """Returns members that start at once and know the same contact."""
     fleet = MemberFleet(MembershipSettings(version_gossip="own"))
     for index in range(count):
         fleet.add(fleet.entry(index))
@@ -155,71 +160,79 @@
     return fleet
 
 
-def test_a_large_herd_knows_itself_before_callers_come() -> None:
-    """Guards against nodes that serve while they know a part of the mesh."""
-    fleet = herd(LARGE)
-    fleet.run_until(fleet.all_ready, UNTIL_CALLERS_MS)
+def test_a_large_fleet_is_complete_before_callers_come() -> None:
+    """Guards against nodes that serve while they know only some members."""
+    fleet = started_at_once(LARGE_MEMBER_COUNT)
+    fleet.run_until(fleet.all_ready, CALLERS_START_MS)
 
 
-def test_the_start_of_a_large_mesh_crosses_data_centres_little() -> None:
-    """Guards against gossip that fills the lines between data centres."""
-    fleet = herd(LARGE)
-    fleet.run(UNTIL_CALLERS_MS)
-    seconds = UNTIL_CALLERS_MS / 1000
-    assert fleet.remote_bytes / seconds / LARGE < FAR_BYTES_PER_S
+def test_the_start_of_a_large_fleet_sends_few_remote_bytes() -> None:
+    """Guards against gossip that fills the links between data centres."""
+    fleet = started_at_once(LARGE_MEMBER_COUNT)
+    fleet.run(CALLERS_START_MS)
+    seconds = CALLERS_START_MS / 1000
+    assert (
+        fleet.remote_bytes / seconds / LARGE_MEMBER_COUNT
+        < REMOTE_BYTES_PER_S_LIMIT
+    )
 
 
-def test_at_rest_a_node_keeps_few_streams() -> None:
-    """Guards against probes that open a stream from each node to each."""
-    fleet = MemberFleet.of(LARGE)
+def test_an_idle_node_keeps_few_streams() -> None:
+    """Guards against probes that open a stream between every two nodes."""
+    fleet = MemberFleet.of(LARGE_MEMBER_COUNT)
     fleet.run(IDLE_LINK_MS)
     partners = [len(item) for item in fleet.partners.values()]
-    assert sum(partners) / LARGE < LARGE / 3
+    assert sum(partners) / LARGE_MEMBER_COUNT < LARGE_MEMBER_COUNT / 3
 
 
-def test_a_lost_data_centre_is_noticed_by_all_others() -> None:
-    """Guards against a data centre that nobody outside it watches."""
+def test_all_others_mark_a_lost_data_centre_as_gone() -> None:
+    """Guards against a data centre that no node outside of it probes."""
     fleet = MemberFleet.of(60)
     fleet.run(5_000)
-    lost = range(5, 60, 6)
-    for index in lost:
+    lost_indexes = range(5, 60, 6)
+    for index in lost_indexes:
         fleet.remove(address(index))
     fleet.run_until(
-        lambda: all(fleet.all_see(node(index), GONE) for index in lost),
+        lambda: all(fleet.all_see(node(index), GONE) for index in lost_indexes),
         MINUTE_MS,
     )
 
 
 def test_a_change_reaches_each_data_centre_at_once() -> None:
-    """Guards against a new target that far nodes hear of late."""
+    """Guards against a changed target that remote nodes learn of late."""
     fleet = MemberFleet.of(60)
     changed = fleet.members[address(7)]
     changed.table.update_own(state=DRAINING)
     fleet.execute(address(7), address(7), changed.gossip_own_entry())
     fleet.step()
-    told = {
+    informed_data_centres = {
         swim.table.own.data_centre
         for swim in fleet.members.values()
         if swim.table is not changed.table
         and swim.table.others[node(7)].state == DRAINING
     }
-    assert len(told) == DATA_CENTRES
+    assert len(informed_data_centres) == DATA_CENTRE_COUNT
 
 
 def test_a_restarted_member_replaces_its_old_incarnation() -> None:
-    """Guards against a restarted node held for the old one."""
+    """Guards against a restarted node taken for its old incarnation."""
     fleet = MemberFleet.of(10)
     fleet.run(5_000)
     fleet.remove(address(2))
     fleet.add(MemberFleet.entry(2, incarnation=2))
     fleet.join(address(2), address(5))
-    watcher = fleet.members[address(9)].table
-    fleet.run_until(lambda: watcher.others[node(2)].incarnation == 2, MINUTE_MS)
+    observer = fleet.members[address(9)].table
+    fleet.run_until(
+        lambda: observer.others[node(2)].incarnation == 2, MINUTE_MS
+    )
     fleet.run_until(fleet.all_ready, MINUTE_MS)
 
 
-def test_a_forgotten_member_is_not_brought_back_by_old_gossip() -> None:
-    """Guards against a long dead target that is sent work again."""
+def test_old_gossip_does_not_restore_a_removed_member() -> None:
+    """Guards against a dead target that gets requests again.
+
+    Old gossip names the target after the others have removed its entry.
+    """
     fleet = MemberFleet.of(4, MembershipSettings(gone_kept_ms=MINUTE_MS))
     dead = MemberFleet.entry(3)
     fleet.remove(dead.peer_address)
@@ -230,7 +243,7 @@
     assert table.stale_entries >= 1
 
 
-def test_versions_reach_everybody_without_a_new_sequence() -> None:
+def test_versions_reach_all_members_without_a_new_sequence() -> None:
     fleet = MemberFleet.of(20)
     for swim in fleet.members.values():
         swim.table.update_version(7)
@@ -246,7 +259,7 @@
     }
 
 
-def test_a_refused_stream_asks_others_without_waiting() -> None:
+def test_a_refused_stream_starts_indirect_probes_at_once() -> None:
     fleet = MemberFleet.of(5)
     swim: Swim = fleet.members[address(0)]
     probes = [item for item in swim.tick(0) if isinstance(item, SendFrame)]
@@ -255,8 +268,11 @@
     assert not swim.on_unreachable(probes[0].address)
 
 
-def test_own_pause_is_not_taken_for_the_death_of_others() -> None:
-    """Guards against a paused node that suspects healthy ones."""
+def test_own_pause_raises_no_suspicion_of_others() -> None:
+    """Guards against a resumed node that suspects healthy members.
+
+    Its probes have timed out during its own pause.
+    """
     swim = MemberFleet.of(3).members[address(0)]
     assert swim.tick(0)
     swim.tick(MINUTE_MS)
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_sequences.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_member_sequences.py
@@ -1,4 +1,4 @@
-"""Membership after any sequence of failures."""
+"""Membership after random sequences of failures."""
 
 import attrs
 from hypothesis import given, settings
@@ -8,8 +8,8 @@
 from pomelobank_schema.generated.settings import MembershipSettings
 from pomelobank_testing._member_fleet import MemberFleet
 
-MEMBERS = 5
-FAST = MembershipSettings(
+MEMBER_COUNT = 5
+FAST_SETTINGS = MembershipSettings(
     period_ms=500, sync_period_ms=3000, rejoin_period_ms=2000
 )
 DRAINING = MemberState.DRAINING.value
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Event:
-    """One thing that happens to a member, and the time until the next."""
+    """An event at one member, and the time until the next event."""
 
     kind: str
     member: int
@@ -29,29 +29,29 @@
 events = st.builds(
     Event,
     st.sampled_from(["kill", "start", "freeze", "wake", "cut", "drain"]),
-    st.integers(0, MEMBERS - 1),
+    st.integers(0, MEMBER_COUNT - 1),
     st.integers(1, 120).map(lambda steps: 100 * steps),
 )
 
 
 @attrs.define
 class Scenario:
-    """A fleet to which events happen."""
+    """A fleet, and the state that its events have changed."""
 
     fleet: MemberFleet = attrs.field(
-        factory=lambda: MemberFleet.of(MEMBERS, FAST)
+        factory=lambda: MemberFleet.of(MEMBER_COUNT, FAST_SETTINGS)
     )
-    incarnations: list[int] = attrs.field(factory=lambda: [1] * MEMBERS)
+    incarnations: list[int] = attrs.field(factory=lambda: [1] * MEMBER_COUNT)
     cut_off: set[str] = attrs.field(factory=set)
 
-    def happen(self, event: Event) -> None:
+    def apply(self, event: Event) -> None:
         entry = MemberFleet.entry(event.member)
         address = entry.peer_address
         getattr(self, event.kind)(address, event.member)
         self.fleet.run(event.pause_ms)
 
     def kill(self, address: str, index: int) -> None:
-        # One member stays, or nobody would be left to join.
+        # One member must stay, since a started member needs one to join.
         if address in self.fleet.members and len(self.fleet.members) > 1:
             self.fleet.frozen.discard(address)
             self.fleet.remove(address)
@@ -87,11 +87,11 @@
             swim.table.update_own(state=DRAINING)
             self.fleet.execute(address, address, swim.broadcast_own_entry())
 
-    def calm(self) -> None:
+    def end_faults(self) -> None:
         self.fleet.frozen.clear()
         self.fleet.reachable = lambda source, destination: True
 
-    def settled(self) -> bool:
+    def is_converged(self) -> bool:
         members = self.fleet.members.values()
         own = {swim.table.own.node: swim.table.own for swim in members}
         return all(
@@ -108,16 +108,17 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(events, max_size=10))
-def test_all_views_agree_with_the_truth_once_it_is_calm(
+def test_all_views_are_correct_after_the_faults_end(
     sequence: list[Event],
 ) -> None:
-    """Kills, starts, freezes, cuts and drains come in any order, also twice.
+    """Kills, starts, freezes, partitions and drains come in any order.
 
-    A view that stays wrong afterwards sends callers to a target that is not
-    there, or leaves one idle for good.
+    An event may also come repeatedly. A member whose view stays wrong
+    afterwards sends requests to a missing target, or leaves a healthy target
+    idle permanently.
     """
     scenario = Scenario()
     for event in sequence:
-        scenario.happen(event)
-    scenario.calm()
-    scenario.fleet.run_until(scenario.settled, 5 * MINUTE_MS)
+        scenario.apply(event)
+    scenario.end_faults()
+    scenario.fleet.run_until(scenario.is_converged, 5 * MINUTE_MS)
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_traffic.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_traffic.py
@@ -1,7 +1,8 @@
 """Mixed traffic while nodes are killed, frozen and stopped.
 
-Every request sent is accounted for: answered whole and rightly or refused;
-what must not repeat runs at most once, and what is called not run never ran.
+Every request ends with a complete and correct response or with an error. A
+request that must not repeat runs at most once, and a request with a `not-run`
+response never ran.
 """
 
 import asyncio
@@ -42,8 +43,8 @@
 
 
 @contextlib.asynccontextmanager
-async def started(
-    entries: tuple[str, ...] = (ENTRY, *OWNERS), longest_work_ms: int = 30
+async def started_mesh(
+    entries: tuple[str, ...] = (ENTRY, *OWNERS), max_work_ms: int = 30
 ) -> AsyncIterator[tuple[TestMesh, Traffic]]:
     async with TestMesh() as mesh:
         await asyncio.gather(
@@ -66,83 +67,84 @@
             SERVICE,
             "/reorders",
             list(entries),
-            max_work_ms=longest_work_ms,
+            max_work_ms=max_work_ms,
         )
         traffic.start()
         await traffic.wait_for(40)
         yield mesh, traffic
 
 
-async def account(
-    mesh: TestMesh, traffic: Traffic, lost: tuple[str, ...] = ()
+async def check_outcomes(
+    mesh: TestMesh, traffic: Traffic, lost_entries: tuple[str, ...] = ()
 ) -> Counter[str]:
     await traffic.stop()
-    assert find_faults(traffic.sent, count_runs(mesh), lost) == []
+    assert find_faults(traffic.sent, count_runs(mesh), lost_entries) == []
     return Counter(item.error or "answered" for item in traffic.sent)
 
 
 async def test_killed_owner() -> None:
-    """A target's node is killed with requests of a peer under way.
+    """A target's node is killed while it runs requests from a peer.
 
-    Their callers must hear that nobody knows whether they ran, and others
-    must be served by the node that is left.
+    The callers of these requests must get a response that leaves open whether
+    they ran, and the remaining owner must serve the other callers.
     """
-    async with started() as (mesh, traffic):
+    async with started_mesh() as (mesh, traffic):
         await mesh.nodes["owner-a"].kill()
         await traffic.wait_for(60, [ENTRY, "owner-b"])
-        kinds = await account(mesh, traffic, ("owner-a",))
+        kinds = await check_outcomes(mesh, traffic, ("owner-a",))
         assert "internal" not in kinds
 
 
-def _number(item: SentRequest) -> int:
+def _request_number(item: SentRequest) -> int:
     return int(item.run_id.removeprefix("run-"))
 
 
 async def test_frozen_owner() -> None:
-    """A target's node stops for longer than every deadline, then goes on.
+    """A target's node freezes for longer than every deadline, then resumes.
 
-    What it finds in its sockets is older than its callers' patience. A reorder
-    that ran then would be lodged after its caller was told otherwise. What has
-    time left may still run, and its caller may hear too early that nobody
-    knows: such a request had 25 ms left and began 22 ms after the node went on.
+    Requests in the node's sockets are past their callers' deadlines. If such a
+    reorder ran, it would be placed after its caller got a deadline error. A
+    request with time left may still run, and its caller may get the `unknown`
+    response too early: one such request had 25 ms left and started 22 ms after
+    the node resumed.
     """
-    async with started() as (mesh, traffic):
+    async with started_mesh() as (mesh, traffic):
         frozen = mesh.nodes["owner-a"]
         frozen.freeze()
-        surely_frozen = traffic.numbers
-        given_up = traffic.numbers + 3 * traffic.callers
+        last_number_before_freeze = traffic.numbers
+        min_request_count = traffic.numbers + 3 * traffic.callers
 
-        def told_while_frozen() -> list[SentRequest]:
+        def deadline_errors_while_frozen() -> list[SentRequest]:
             return [
                 item
                 for item in traffic.sent
                 if item.error.startswith("deadline")
                 and item.entry != "owner-a"
-                and surely_frozen < _number(item)
+                and last_number_before_freeze < _request_number(item)
             ]
 
         async with asyncio.timeout(15):
-            while not told_while_frozen():
+            while not deadline_errors_while_frozen():
                 traffic.ended.clear()
                 await traffic.ended.wait()
-            while traffic.numbers < given_up:
+            while traffic.numbers < min_request_count:
                 traffic.ended.clear()
                 await traffic.ended.wait()
-        told = told_while_frozen()
+        deadline_errors = deadline_errors_while_frozen()
         frozen.signal(signal.SIGCONT)
         await traffic.wait_for(30, ["owner-a"])
-        await account(mesh, traffic)
+        await check_outcomes(mesh, traffic)
         runs = count_runs(mesh)
-        assert [item for item in told if runs[item.run_id]] == []
+        assert [item for item in deadline_errors if runs[item.run_id]] == []
 
 
 async def test_planned_stop_of_an_owner_and_of_an_entry() -> None:
-    """Nodes are replaced by day, while callers use them.
+    """Nodes are stopped as planned while callers use them.
 
-    Nothing that is under way may be cut off; what comes too late is told that
-    it did not run.
+    A stopping node must not cut off requests in flight, and must answer
+    requests that arrive too late as `not-run`.
     """
-    async with started((ENTRY, "owner-b"), 700) as (mesh, traffic):
+    async with started_mesh((ENTRY, "owner-b"), 700) as (mesh, traffic):
         assert await mesh.nodes["owner-a"].stop() == 0
         await traffic.wait_for(30, [ENTRY, "owner-b"])
         assert await mesh.nodes[ENTRY].stop() == 0
@@ -167,8 +169,8 @@
 
 
 async def test_target_that_vanishes() -> None:
-    """A target ends in the middle of its work while its node lives on."""
-    async with started() as (mesh, traffic):
+    """A target ends while requests run on it, and its node keeps running."""
+    async with started_mesh() as (mesh, traffic):
         target = mesh.targets["owner-a"]
         if target.announcer is not None:
             target.announcer.cancel()
@@ -179,5 +181,5 @@
         for listener in server.servers:
             listener.close()
         await traffic.wait_for(40)
-        kinds = await account(mesh, traffic)
+        kinds = await check_outcomes(mesh, traffic)
         assert "internal" not in kinds
