--- a/packages/pomelobank-testing/src/pomelobank_testing/experiment/tests/test_experiment.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/experiment/tests/test_experiment.py
@@ -1,4 +1,8 @@
-"""Loads at their worst, replayed against the product's decisions."""
+"""Simulated overload, decided by the admission and routing code of the node.
+
+Most tests run one load pattern twice, with and without one mechanism, and
+compare the outcomes of the callers' requests.
+"""
 
 import attrs
 import pytest
@@ -12,18 +16,18 @@
 )
 
 SEED = 1
-SHORT_S = 4.0
+SHORT_DURATION_S = 4.0
 
 
 def _short(name: str) -> Pattern:
-    return attrs.evolve(PATTERNS[name], duration_s=SHORT_S)
+    return attrs.evolve(PATTERNS[name], duration_s=SHORT_DURATION_S)
 
 
 def _shortage(*without: str) -> Outcomes:
     return run_pattern(_short("shortage"), SEED, frozenset(without))
 
 
-def test_a_calm_load_is_served_in_time() -> None:
+def test_load_within_capacity_meets_its_objectives() -> None:
     outcomes = run_pattern(_short("calm"), SEED)
     assert outcomes.value_ratio > 0.99
 
@@ -34,50 +38,56 @@
     assert first.by_route == second.by_route
 
 
-def test_the_same_callers_come_whatever_is_switched_off() -> None:
+def test_disabled_mechanisms_leave_the_callers_the_same() -> None:
     pattern = attrs.evolve(PATTERNS["shortage"], duration_s=2.0)
-    whole = run_pattern(pattern, SEED)
-    part = run_pattern(pattern, SEED, frozenset({"hedging", "ranks"}))
+    all_enabled = run_pattern(pattern, SEED)
+    some_disabled = run_pattern(pattern, SEED, frozenset({"hedging", "ranks"}))
     for route in ("look-up", "order", "record", "history"):
-        assert whole.for_route(route).requests == part.for_route(route).requests
+        assert (
+            all_enabled.for_route(route).requests
+            == some_disabled.for_route(route).requests
+        )
 
 
 @pytest.mark.parametrize(
-    ("name", "at_s", "least", "most"),
+    ("name", "at_s", "min_ratio", "max_ratio"),
     [
-        pytest.param("calm", 1.0, 1.0, 1.0, id="room for all"),
+        pytest.param("calm", 1.0, 1.0, 1.0, id="capacity for all"),
         pytest.param("shortage", 1.0, 0.6, 0.8, id="half of one upstream"),
         pytest.param("burst", 3.0, 0.6, 0.95, id="during a burst"),
     ],
 )
-def test_bound_of_what_targets_have_room_for(
-    name: str, at_s: float, least: float, most: float
+def test_max_value_ratio_of_the_target_capacity(
+    name: str, at_s: float, min_ratio: float, max_ratio: float
 ) -> None:
-    assert least <= max_value_ratio(PATTERNS[name], at_s) <= most
+    assert min_ratio <= max_value_ratio(PATTERNS[name], at_s) <= max_ratio
 
 
 @pytest.mark.parametrize("name", ["shortage", "burst"])
-def test_newcomers_are_served_before_callers_that_are_late(name: str) -> None:
-    """More callers come than targets can serve; the refused come back.
+def test_first_attempts_are_served_before_late_retries(name: str) -> None:
+    """Callers exceed the capacity of the targets, and refused callers retry.
 
-    Told apart by nothing, both get slots alike, and half of the answers to
-    look-ups come too late to be of full use although every slot is busy.
+    A retry has already spent a part of its time. If the owner does not know
+    this, retries and first attempts get slots alike, and half of the responses
+    to look-ups miss their latency objective although every slot is busy.
     """
-    known = run_pattern(PATTERNS[name], SEED)
-    unknown = run_pattern(PATTERNS[name], SEED, frozenset({"patience"}))
+    with_timeouts = run_pattern(PATTERNS[name], SEED)
+    without_timeouts = run_pattern(
+        PATTERNS[name], SEED, frozenset({"patience"})
+    )
     assert (
-        known.for_route("look-up").within_objective
-        > unknown.for_route("look-up").within_objective
+        with_timeouts.for_route("look-up").within_objective
+        > without_timeouts.for_route("look-up").within_objective
     )
-    assert known.value_ratio > unknown.value_ratio
+    assert with_timeouts.value_ratio > without_timeouts.value_ratio
 
 
 @pytest.mark.parametrize("name", ["shortage", "burst"])
-def test_refusals_come_while_they_are_of_use(name: str) -> None:
-    """A queue holds requests that everything else overtakes.
+def test_refusals_come_before_the_objective_has_passed(name: str) -> None:
+    """Queued requests are overtaken by all others until they are refused.
 
-    They are refused after half of their time, and their callers, who could
-    have gone elsewhere, have no time left.
+    The refusal comes after half of the request's time, so the caller has too
+    little time left for a retry at another node.
     """
     limited = run_pattern(PATTERNS[name], SEED)
     unlimited = run_pattern(PATTERNS[name], SEED, frozenset({"late-limit"}))
@@ -88,7 +98,7 @@
 
 
 def test_refusals_in_a_burst_come_within_the_objective() -> None:
-    """Guards against look-ups that wait past their use and are refused then."""
+    """Guards against look-ups refused only after their latency objective."""
     for seed in (2, 6, 8):
         outcome = run_pattern(PATTERNS["burst"], seed)
         aim_ms = outcome.pattern.route("look-up").aim_ms
@@ -99,7 +109,7 @@
 def test_refusals_of_every_route_in_a_burst_come_within_its_objective(
     seed: int,
 ) -> None:
-    """Guards against overtaken requests that stay queued past the objective."""
+    """Guards against overtaken requests still queued past their objective."""
     outcome = run_pattern(PATTERNS["burst"], seed)
     for route in outcome.pattern.routes:
         assert (
@@ -108,10 +118,11 @@
 
 
 def test_orders_are_served_through_a_shortage() -> None:
-    """Half of one upstream's targets leave, and callers come on.
+    """Half of one upstream's targets leave while the load continues.
 
-    What is left has room for all orders and some look-ups. Without ranks,
-    orders wait and are refused like look-ups, and customers lose them.
+    The remaining targets have capacity for all orders and for some look-ups.
+    Without ranks the owner queues and refuses orders as often as look-ups, so
+    orders are lost.
     """
     order = _shortage().for_route("order")
     assert order.within_objective > 0.95 * order.requests
@@ -119,28 +130,31 @@
     assert unranked.within_objective < order.within_objective
 
 
-def test_running_work_does_not_fail_for_want_of_its_calls() -> None:
-    """Guards against calls that are refused while their callers hold slots."""
+def test_running_requests_do_not_fail_for_refused_nested_calls() -> None:
+    """Guards against refused nested calls, whose callers still hold slots."""
     outcomes = run_pattern(PATTERNS["calls"], SEED)
-    asked = outcomes.for_route("reorder").requests
-    assert outcomes.for_route("reorder").failed < 0.01 * asked
+    requests = outcomes.for_route("reorder").requests
+    assert outcomes.for_route("reorder").failed < 0.01 * requests
     assert (
         outcomes.for_route("stock").within_objective
         > 0.4 * outcomes.for_route("stock").requests
     )
 
 
-def test_calls_find_the_first_free_slot_of_several_targets() -> None:
-    """Guards against calls that wait for the next slot of one full target."""
+def test_calls_use_the_first_free_slot_of_several_targets() -> None:
+    """Guards against calls bound to one full target while others are free."""
     late = run_pattern(PATTERNS["calls"], SEED)
     early = run_pattern(PATTERNS["calls"], SEED, frozenset({"late-binding"}))
     assert late.value_ratio > early.value_ratio + 0.1
 
 
-def test_thin_lines_are_not_filled_with_bodies_that_are_declined() -> None:
-    """Guards against answers and calls that wait behind bodies in the lines."""
-    held_back = run_pattern(PATTERNS["thin-lines"], SEED)
+def test_bodies_of_refused_requests_do_not_fill_slow_links() -> None:
+    """Guards against bodies of refused requests that fill network links.
+
+    Responses and nested calls then wait behind these bodies.
+    """
+    deferred = run_pattern(PATTERNS["thin-lines"], SEED)
     sent = run_pattern(
         PATTERNS["thin-lines"], SEED, frozenset({"held-back-bodies"})
     )
-    assert held_back.value_ratio > sent.value_ratio + 0.05
+    assert deferred.value_ratio > sent.value_ratio + 0.05
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_bad_input.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""What callers send that is not a request the mesh can take."""
+"""Malformed or oversized requests get a typed error response."""
 
 import asyncio
 
@@ -6,10 +6,10 @@
 
 from pomelobank_testing import TestMesh
 
-GOOD = b"GET /stock HTTP/1.1\r\nhost: counter-desk\r\n"
+VALID_HEAD_START = b"GET /stock HTTP/1.1\r\nhost: counter-desk\r\n"
 
 
-async def _send(address: str, data: bytes) -> bytes:
+async def _send_bytes(address: str, data: bytes) -> bytes:
     host, _, port = address.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
@@ -19,51 +19,66 @@
     return head
 
 
-# What is too large is told apart from what is wrong: a caller mends it
-# differently.
-TOO_LARGE = [
-    pytest.param(GOOD + b"a: b\r\n" * 200 + b"\r\n", id="many headers"),
-    pytest.param(GOOD + b"a: " + b"b" * 400_000, id="endless header"),
+# A head that is too large has its own status and error kind, since its caller
+# must shorten the head rather than correct it.
+TOO_LARGE_CASES = [
+    pytest.param(
+        VALID_HEAD_START + b"a: b\r\n" * 200 + b"\r\n", id="many headers"
+    ),
+    pytest.param(
+        VALID_HEAD_START + b"a: " + b"b" * 400_000, id="endless header"
+    ),
 ]
-CASES = [
+BAD_INPUT_CASES = [
     pytest.param(b"\x16\x03\x01 what is this\r\n\r\n", id="not HTTP"),
     pytest.param(b"GET /stock HTTP/1.1\r\n\r\n", id="no host"),
     pytest.param(
-        b"GET /stock HTTP/1.1\r\nhost: a b/c\r\n\r\n", id="host is no name"
+        b"GET /stock HTTP/1.1\r\nhost: a b/c\r\n\r\n", id="invalid host"
     ),
     pytest.param(
-        GOOD + b"x-pomelobank-service: \xff\xfe\r\n\r\n", id="service no name"
+        VALID_HEAD_START + b"x-pomelobank-service: \xff\xfe\r\n\r\n",
+        id="invalid service",
     ),
     pytest.param(
-        GOOD + b"x-pomelobank-timeout-ms: soon\r\n\r\n", id="timeout no number"
+        VALID_HEAD_START + b"x-pomelobank-timeout-ms: soon\r\n\r\n",
+        id="timeout is no number",
     ),
     pytest.param(
-        GOOD + b"x-pomelobank-timeout-ms: 0\r\n\r\n", id="timeout of nothing"
+        VALID_HEAD_START + b"x-pomelobank-timeout-ms: 0\r\n\r\n",
+        id="zero timeout",
     ),
     pytest.param(
-        GOOD + b"x-pomelobank-timeout-ms: " + b"9" * 30 + b"\r\n\r\n",
-        id="timeout of ages",
+        VALID_HEAD_START
+        + b"x-pomelobank-timeout-ms: "
+        + b"9" * 30
+        + b"\r\n\r\n",
+        id="timeout above the limit",
     ),
     pytest.param(
-        GOOD + b"idempotency-key: " + b"k" * 300 + b"\r\n\r\n", id="long key"
+        VALID_HEAD_START + b"idempotency-key: " + b"k" * 300 + b"\r\n\r\n",
+        id="long key",
     ),
-    *TOO_LARGE,
+    *TOO_LARGE_CASES,
 ]
 
 
-async def test_bad_input_gets_a_typed_answer() -> None:
-    """A broken or hostile client must not cost more than its own connection."""
+async def test_bad_input_gets_a_typed_error() -> None:
+    """A broken or hostile client sends bytes that are no valid request.
+
+    The node must answer with an error that says that nothing ran, and must
+    still serve other connections.
+    """
     async with TestMesh() as mesh:
         node = await mesh.add_node("entry", "hobart")
         address = node.addresses["http"]
-        for case in CASES:
+        for case in BAD_INPUT_CASES:
             (data,) = case.values
-            head = await _send(address, data)  # type: ignore[arg-type]
-            large = case in TOO_LARGE
-            status = b"HTTP/1.1 431" if large else b"HTTP/1.1 400"
-            kind = b"head_too_large" if large else b"bad_request"
+            head = await _send_bytes(address, data)  # type: ignore[arg-type]
+            is_too_large = case in TOO_LARGE_CASES
+            status = b"HTTP/1.1 431" if is_too_large else b"HTTP/1.1 400"
+            error_kind = b"head_too_large" if is_too_large else b"bad_request"
             assert head.startswith(status), (case.id, head)
-            assert b"x-pomelobank-error: " + kind in head, case.id
+            assert b"x-pomelobank-error: " + error_kind in head, case.id
             assert b"x-pomelobank-run: not-run" in head, case.id
-        head = await _send(address, GOOD + b"\r\n")
+        head = await _send_bytes(address, VALID_HEAD_START + b"\r\n")
         assert b"x-pomelobank-error: bad_request" not in head
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_docs.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The docs match the program: reference pages, links and named files."""
+"""The docs match the code: reference pages, links and named files."""
 
 import re
 from pathlib import Path
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_metrics.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Every metric of the list is on the page, and every one is documented."""
+"""Every instrument of the node appears on its metrics page."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 DOCS = Path(__file__).parents[5] / "docs"
 
 
-def shown_name(name: str) -> str:
+def page_name(name: str) -> str:
     return name.replace(".", "_")
 
 
@@ -28,9 +28,7 @@
             for item in INSTRUMENTS
             if not item.label
             and item not in SIDECAR_ONLY
-            and not any(
-                name.startswith(shown_name(item.name)) for name in names
-            )
+            and not any(name.startswith(page_name(item.name)) for name in names)
         ]
         assert missing == []
         assert 'outcome="answered"} 1.0' in page
--- a/packages/pomelobank-testing/src/pomelobank_testing/tests/test_whole_path.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path with three nodes as processes of their own."""
+"""The whole request path, with three node processes."""
 
 import asyncio
 import json
@@ -41,5 +41,5 @@
         assert code == 404
         assert json.loads(body)["run"] == "not-run"
         assert headers["x-pomelobank-error"] == "no_route"
-        exits = [await node.stop() for node in mesh.nodes.values()]
-        assert exits == [0, 0, 0]
+        exit_codes = [await node.stop() for node in mesh.nodes.values()]
+        assert exit_codes == [0, 0, 0]
