--- a/packages/pomelobank-core/src/pomelobank_core/_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_admission.py
@@ -152,13 +152,14 @@
     def _offer_isolated(
         self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        # One isolated request at a time: several would empty the target for
-        # each in turn and take the slots from requests that are not suspects.
+        # Only one isolated request is admitted at a time: with several, the
+        # target would be emptied for each in turn, and they would take the
+        # slots from requests that are not suspects.
         if self.isolated_request is not None:
             return self._reject(ErrorKind.OVERLOADED, self.max_queue_ms)
-        # All other requests are held until the target is empty. Behind long
-        # work the target's slots would stand idle for seconds, so the suspect
-        # is rejected and its caller retries later.
+        # All other requests are held until the target is empty. If the running
+        # requests still take long, slots that become free would stand idle for
+        # seconds, so the suspect is rejected and its caller retries later.
         until_empty_ms = self._time_until_empty_ms()
         available_ms = min(request.deadline_ms - now_ms, MAX_ISOLATION_HOLD_MS)
         if until_empty_ms > available_ms:
--- a/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_base_admission.py
@@ -192,7 +192,7 @@
         return self.start_waiting(now_ms)
 
     def start_waiting(self, now_ms: float) -> QueueChange:
-        """Drops requests that cannot run in time; starts others if possible."""
+        """Drops requests that cannot run in time; starts queued requests."""
         dropped = self._drop(now_ms)
         if self.isolated_request is None:
             return QueueChange(tuple(self._start_queued(now_ms)), dropped)
@@ -223,7 +223,7 @@
     def _start_isolated(
         self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        """Starts a request alone, or holds all others until it can start."""
+        """Starts a request alone; until it can start, holds other requests."""
         self.isolated_request = request
         if self.in_flight:
             return Queued()
--- a/packages/pomelobank-core/src/pomelobank_core/_bootstrap_contacts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_bootstrap_contacts.py
@@ -20,13 +20,14 @@
 # time only if most of the fleet is gone; the starting nodes then announce
 # themselves.
 CONTACTS_PER_RECORD = 16
-# Records that a starting node reads at the end of the stream. Older records
-# name members that have most likely been replaced.
+# Number of records that a starting node reads at the end of the stream. Older
+# records name members that have most likely been replaced.
 TAIL_RECORDS = 64
 # Maximum number of addresses that a node contacts in one round.
 TRIES_AT_ONCE = 3
 # Maximum age of the newest record before a new one is written. The interval is
-# well below the retention time of the log.
+# well below the retention time of the log, so that the log always contains a
+# record.
 REFRESH_MS = 300_000
 # A node draws the random wait before its announcement from a window of this
 # many times the duration of a read of the log. Of 1,000 nodes that start at the
--- a/packages/pomelobank-core/src/pomelobank_core/_candidates.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_candidates.py
@@ -38,7 +38,7 @@
 
     With 1,000 members, a scan for each request would take more time than the
     whole request may take. The index is rebuilt only when the table counts a
-    serving change; a member's new configuration version is not one.
+    serving change, which a member's new configuration version is not.
 
     Attributes:
         table: The members.
--- a/packages/pomelobank-core/src/pomelobank_core/_claim_batcher.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claim_batcher.py
@@ -23,7 +23,8 @@
 # if no claim arrives. The limit is short enough that a caller that retries
 # through another node after a crash finds the record.
 LAZY_WAIT_MS = 200
-# Exponential back-off after failed appends: first and longest pause.
+# First and maximum pause after a failed append; the pause doubles with each
+# further failure (exponential back-off).
 FIRST_PAUSE_MS = 200
 MAX_PAUSE_MS = 2000
 
--- a/packages/pomelobank-core/src/pomelobank_core/_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claims.py
@@ -29,8 +29,8 @@
 # The number of shards determines the stream of a key's claims. After a change
 # of the number, a node would look for a key's claim in another stream, find
 # none and run the request a second time. Sixteen streams distribute the work
-# over up to sixteen nodes and give each stream 10 appends a second of a budget
-# of 160.
+# over up to sixteen nodes. By default, all streams together may make 160
+# appends a second, so each stream gets 10.
 SHARD_COUNT = 16
 DIGEST_BYTES = 16
 
@@ -58,8 +58,9 @@
     """Orders nodes by preference as the writer of a shard's claims, best first.
 
     Rendezvous hashing moves only the shards of a node that leaves. While nodes
-    disagree about the members, two nodes may read the shard's stream, but a
-    request never runs twice.
+    disagree about the members, two nodes may read the shard's stream. No
+    request runs twice, because the order of the stream's records decides which
+    claim holds a key.
     """
     return rendezvous_order(nodes, f"claims/{shard}")
 
@@ -238,12 +239,13 @@
         return events
 
     def _set_complete_from(self, offset: int, batch: ClaimBatch) -> None:
-        # The log may retain records for less than the window. A key that was
-        # claimed in a trimmed record would look new, and its request would run
-        # again. The first retained record contains the time of the newest
-        # trimmed record, provided that its writer had read all records before
-        # it; otherwise trimmed claims may be as recent as the reader's start.
-        # No key counts as new until the window has passed since that time.
+        # The log may have trimmed (deleted) records whose claims are still
+        # valid. A key claimed in such a record would look new, and its request
+        # would run again. Therefore, no key counts as new until one claim
+        # window after the newest trimmed record. The first retained record
+        # states that record's time if its writer had read all earlier records.
+        # Otherwise the time is unknown, and the time at which this reader
+        # started is used, which is the latest possible.
         self.trimmed = False
         trimmed_until_ms = batch.previous_at_ms
         if batch.seen_offset < offset:
--- a/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
@@ -4,9 +4,9 @@
 
 from pomelobank_core._latency import MAX_ROUTES, BaselineAverage, MovingAverage
 
-# A cold target starts with its slots divided by this. The limit grows by one
-# with every response, which doubles it in each round trip, so the target is
-# fully used after two round trips.
+# Divisor of the slots that gives the limit of a cold target (just started or
+# restarted). Each response raises the limit by one, so the limit doubles in
+# each round of responses and reaches all slots after two rounds.
 COLD_START_DIVISOR = 4
 # Factor by which one step lowers the limit. At one step for each round of
 # responses (as many responses as the limit), ten per cent halves the limit in
@@ -17,9 +17,10 @@
 # the target shed last. If every round tried that value, a target that announces
 # more slots than it has would shed one of ten requests permanently.
 ROUNDS_BEFORE_SHED_LIMIT = 20
-# Ratio of recent to baseline service times above which the limit falls, and
-# below which the limit may grow. Twice the baseline is the earliest sign of
-# queueing inside the target; below 1.5 times the ratio is noise of short work.
+# Ratios of the recent to the baseline service time. Above `SLOW_RATIO` the
+# limit falls: twice the baseline is the earliest sign of queueing inside the
+# target. Below `NORMAL_RATIO` the limit may grow: with short work, the ratio
+# varies this much by chance.
 SLOW_RATIO = 2.0
 NORMAL_RATIO = 1.5
 # Slow responses lower the limit to no less than the slots divided by this. A
@@ -165,11 +166,11 @@
 class SlotLimit:
     """Fixed limit of concurrent requests: the slots that a target announced.
 
-    For targets whose number of slots is fixed by their program and that receive
-    requests from their node only, so that the count is exact. An adaptive limit
-    mistakes a burst of lost responses for a restart and long work for a slow
-    target: the adaptive limit left up to three quarters of the slots idle while
-    callers were rejected.
+    This limit is for targets whose number of slots is fixed by their program
+    and that receive requests from their node only, so that the node's count of
+    their requests is exact. An adaptive limit mistakes a burst of lost
+    responses for a restart and long work for a slow target: the adaptive limit
+    left up to three quarters of the slots idle while callers were rejected.
 
     Attributes:
         current: Number of concurrent requests that the node allows.
--- a/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_deadline_admission.py
@@ -39,9 +39,10 @@
 # a burst leaves free, without holding hundreds of requests until their
 # deadlines while an overload lasts.
 PAST_OBJECTIVE_QUEUE_DIVISOR = 3
-# Maximum wait of a request, as a fraction of its time until the deadline; the
-# second value holds from the time at which the request can no longer meet its
-# objective, because requests that can meet theirs overtake it all the time.
+# Maximum wait of a request, as a fraction of its time until the deadline. The
+# smaller fraction applies from the time at which the request can no longer meet
+# its objective, because from then on, requests that can meet their objective
+# overtake the request all the time.
 MAX_WAIT_FRACTION = 1 / 2
 MAX_PAST_OBJECTIVE_WAIT_FRACTION = 1 / 5
 # Upper bound of the delay after which a rejected caller is told to retry,
@@ -161,7 +162,8 @@
         self, request: AdmissionRequest, wait_ms: float, now_ms: float
     ) -> bool:
         # Under a lasting overload only requests that can meet their objective
-        # get slots; a long queue behind them would wait until its deadlines.
+        # get slots; the requests of a long queue behind them would wait until
+        # their deadlines.
         queued_past_objective = sum(
             item.priority <= request.priority
             and self._will_miss_objective(item, now_ms)
@@ -305,10 +307,12 @@
     def _offer_isolated(
         self, request: AdmissionRequest, now_ms: float
     ) -> AdmissionDecision:
-        # One isolated request at a time: several would empty the target for
-        # each in turn and take the slots from requests that are not suspects.
-        # Behind long work the slots would stand idle for seconds, so the
-        # suspect is rejected and its caller retries later.
+        # Only one isolated request is admitted at a time: with several, the
+        # target would be emptied for each in turn, and they would take the
+        # slots from requests that are not suspects. If the running requests
+        # still take long, slots that become free would stand idle for seconds
+        # until the target is empty, so the suspect is rejected and its caller
+        # retries later.
         until_empty_ms = max(
             (self._remaining_ms(item, now_ms) for item in self.running),
             default=0.0,
@@ -369,8 +373,9 @@
         return timing_out
 
     def _excess_past_objective(self, now_ms: float) -> list[AdmissionRequest]:
-        # A request that could meet its objective on arrival and no longer can
-        # would be overtaken by every new request until its maximum wait ends.
+        # Without this limit, a request that could meet its objective on arrival
+        # and no longer can would be overtaken by every new request that can,
+        # until its maximum wait ends.
         past_objective = [
             item
             for item in self.queue
--- a/packages/pomelobank-core/src/pomelobank_core/_distribution.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_distribution.py
@@ -2,14 +2,13 @@
 
 In each data centre, all live members are sorted by a hash. The first few
 members are the readers, which read the log with long polls. The members form a
-tree below the readers, in which each member pushes new records to a few others
-at once. A second tree, over the reversed order, carries only digests that
-announce a new version; a member without the version pulls the records. An inner
-member of one tree is a leaf of the other one, and readers also notify the
+tree below the readers, in which each member pushes new records to a few other
+members at once. A second tree, over the reversed order, carries only digests
+that announce a new version; a member without the version pulls the records. An
+inner member of one tree is a leaf of the other one, and readers also notify the
 members below the next reader. Therefore, no single dead or paused member keeps
-records from the others.
-The nodes' member lists may differ; each difference costs an additional message
-or read.
+records from the others. The nodes' member lists may differ; each difference
+costs an additional message or read.
 """
 
 import random
@@ -241,7 +240,8 @@
         for entry in others:
             self.known_version = max(self.known_version, entry.version)
         # Sorting a thousand members takes some milliseconds, and the members of
-        # an idle mesh do not change between two heartbeats.
+        # an idle mesh do not change between two heartbeats. The neighbours are
+        # therefore computed again only after a change of the live members.
         live = _live_members(others)
         if live == self.live:
             return
@@ -278,10 +278,10 @@
             return ReadPlan(
                 pause_ms=min(remaining_ms, self.settings.heartbeat_ms)
             )
-        # The first reads do not wait, because the node needs the end offset of
-        # the log at once. After that, a polling node always uses long polls;
-        # otherwise, a node that cannot become ready would read the log without
-        # a pause.
+        # Until the node has read the log to its end once, reads return at once,
+        # because the node needs the end offset. After that, a polling node uses
+        # long polls even while it is not ready; otherwise it would read in a
+        # loop without a pause.
         long_poll = polling and self.reached_end
         return ReadPlan(0, self.long_poll_ms if long_poll else 0)
 
@@ -391,8 +391,9 @@
         if digest.version < version and digest.heartbeat:
             # After a simultaneous restart of many nodes, all neighbours of an
             # outdated node receive its heartbeat. If each neighbour pushed the
-            # missing records, the records would arrive many times. After a
-            # digest, the node pulls them from one neighbour.
+            # missing records, the records would arrive many times. The
+            # neighbours send digests instead, and the outdated node pulls the
+            # records from one neighbour.
             return [SendDigest(digest.address, heartbeat=False)]
         return []
 
--- a/packages/pomelobank-core/src/pomelobank_core/_ejection.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_ejection.py
@@ -69,7 +69,7 @@
 
         Args:
             now_ms: Current time.
-            may_eject: Whether the limit of ejected targets allows one more.
+            may_eject: Whether the limit of ejected targets allows an ejection.
             rng: Source of randomness; spreads the probes of many nodes.
 
         Returns:
--- a/packages/pomelobank-core/src/pomelobank_core/_errors.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_errors.py
@@ -61,7 +61,7 @@
         status: HTTP status.
         run_state: Whether the request ran.
         retry_after_ms: Delay before a retry, unless the error itself carries a
-            better one; 0 if a retry does not help.
+            more exact delay; 0 if a retry does not help.
         message: One sentence for people.
     """
 
--- a/packages/pomelobank-core/src/pomelobank_core/_latency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_latency.py
@@ -3,8 +3,8 @@
 import attrs
 
 # Weight of a new sample in an average, which then covers about ten samples. One
-# exceptional request does not change the average much, and a target that
-# becomes slow shows in it within one second at ten requests a second.
+# exceptional request does not change the average much, and at ten requests a
+# second the average shows within one second that a target has become slow.
 SAMPLE_WEIGHT = 0.1
 # Maximum number of routes that are measured at one target. A target serves one
 # upstream with few routes; the bound keeps a mistake in the configuration from
--- a/packages/pomelobank-core/src/pomelobank_core/_objects.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_objects.py
@@ -21,7 +21,8 @@
     """Kinds of configuration objects that operators create."""
 
     # Replay looks up some thousand keys for each change. With the hash function
-    # of enum.Enum, which is written in Python, hashing took most of that time.
+    # of enum.Enum, which is written in Python, most of the time of replay was
+    # spent on hashing.
     __hash__ = object.__hash__
 
     SERVICE = "service"
--- a/packages/pomelobank-core/src/pomelobank_core/_probing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_probing.py
@@ -14,7 +14,7 @@
 FAR_SHARE = 1 / 8
 # The same fraction while a member of another data centre is suspect. That whole
 # data centre may be lost, and with it all members that would probe the suspect
-# more often.
+# more often, so the members of other data centres probe it more often instead.
 DOUBTED_FAR_SHARE = 1 / 2
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/_quarantine.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_quarantine.py
@@ -17,15 +17,16 @@
 # report of the previous crash arrives, and must be stopped even so.
 QUARANTINE_POINTS = 6
 # Time after which a suspicion without new evidence is removed. Callers retry
-# within minutes.
+# within minutes, so that ten minutes cover their retries.
 SUSPICION_MS = 600_000
 # First and maximum duration of a quarantine. The duration doubles with each
 # further crash, so that a caller that keeps sending the request costs one
 # target in a minute, then one in two minutes, at last one in half an hour.
 FIRST_QUARANTINE_MS = 60_000
 MAX_QUARANTINE_MS = 1_800_000
-# Maximum number of suspicions, of 40 bytes of digest and counters each. One
-# crash adds at most as many as the target has slots.
+# Maximum number of suspicions. Each takes 40 bytes of digest and counters. One
+# crash adds at most as many suspicions as the target has slots, so the limit
+# covers the crashes of dozens of targets.
 MAX_ENTRIES = 1024
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/_rank_load.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_rank_load.py
@@ -1,18 +1,20 @@
-"""Load of a target by requests that overtake others in its queue."""
+"""Load of a target by requests that overtake other requests in its queue."""
 
 import math
 from typing import NamedTuple
 
 import attrs
 
-# Time constant of the decay. Requests of about the last second predict the load
-# of the next tenths of a second, the time for which a request may wait. A
-# shorter time is noise at ten requests a second; a longer time would still
-# count a burst that has passed.
+# Time constant with which recorded slot time decays. Requests of about the last
+# second predict the load of the next tenths of a second, the time for which a
+# request may wait. With a shorter time constant, the sum would be mostly noise
+# at ten requests a second; with a longer one, it would still count a burst that
+# has passed.
 DECAY_TIME_MS = 1000.0
-# Minimum fraction of the slots that overtaking requests are assumed to leave.
-# With 0 every expected wait would be infinite, all requests would be rejected,
-# and no measurement could correct the estimate.
+# Minimum fraction of the slots assumed to be left to a rank by better ranks. If
+# better ranks used all slots, the fraction would be 0, the expected wait
+# infinite, and every request of the rank rejected; without requests that run,
+# no measurement could correct an estimated slot time that is too high.
 MIN_AVAILABLE_FRACTION = 0.02
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/_reading_order.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_reading_order.py
@@ -21,7 +21,8 @@
 # replaced yet, the other readers provide the configuration.
 READER_COUNT = 3
 # Time for which a node that cannot read is skipped. Such a node announces its
-# failure with every attempt, at least once a second.
+# failure with every attempt, at least once a second, so it is still skipped if
+# one announcement is lost.
 UNABLE_MS = 2500
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/_rejections.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_rejections.py
@@ -5,7 +5,8 @@
 from pomelobank_core._admission_request import Rejected
 from pomelobank_core._errors import ErrorKind
 
-# Bounds of the retry delay. An earlier retry would meet the same queue again.
+# Bounds of the retry delay. A retry before the minimum would meet the same
+# queue again.
 MIN_RETRY_AFTER_MS = 50
 MAX_RETRY_AFTER_MS = 30_000
 
--- a/packages/pomelobank-core/src/pomelobank_core/_retries.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_retries.py
@@ -9,18 +9,22 @@
 from pomelobank_core._errors import ErrorKind
 from pomelobank_core._retry_budget import Budget, RetryBudget
 
-# Attempts of one request, the first included. Three attempts get past a dead
-# target and a second target that dies meanwhile; more attempts only add load
-# when most targets are dead.
+# Maximum number of attempts of one request, the first included. Three attempts
+# get past a dead target and a second target that dies meanwhile; more attempts
+# only add load when most targets are dead.
 MAX_ATTEMPTS = 3
-# Attempts of one request that may fail by overload. If two targets that were
-# selected by their load are both full, the whole upstream is full.
+# Number of attempts after which an overload error is no longer retried; where
+# overload rejections are free, the number of free retries. If two targets that
+# were selected by their load are both full, the whole upstream is full.
 MAX_OVERLOAD_ATTEMPTS = 2
-# Retries of one request after attempts that were rejected before they cost a
-# target any work.
+# Maximum number of retries of one request after attempts that cost the upstream
+# no work (`RetryCost.TRANSPARENT`). Free overload rejections are limited by
+# `MAX_OVERLOAD_ATTEMPTS` instead.
 MAX_TRANSPARENT_RETRIES = 4
-# Bounds of the backoff. The minimum lets the report of a crash arrive before
-# the next attempt; the first bound doubles with each attempt up to the maximum.
+# Limits of the random pause before a retry. The pause is the minimum, which
+# lets the report of a crash arrive before the next attempt, plus a random time
+# up to a bound. The bound starts at the first value and doubles with each
+# further attempt up to the maximum.
 MIN_DELAY_MS = 10.0
 FIRST_DELAY_BOUND_MS = 40.0
 MAX_DELAY_BOUND_MS = 500.0
@@ -59,7 +63,8 @@
 }
 
 
-# Failures caused by overload; a pause before the next attempt would not help.
+# Failures caused by overload; None stands for a response with which the target
+# shed the request.
 _OVERLOAD_ERRORS = (None, ErrorKind.OVERLOADED, ErrorKind.TARGET_REFUSED)
 
 
@@ -205,8 +210,9 @@
         if cost is RetryCost.TRANSPARENT and attempt.transparent_retries <= 1:
             return 0.0
         if attempt.error in (ErrorKind.OVERLOADED, ErrorKind.TARGET_REFUSED):
-            # Another target has capacity now or not; a pause would only delay
-            # the rejection.
+            # The retry goes to another target that is believed to have a free
+            # slot now. A pause would not make a slot more likely; it would only
+            # delay the response or the rejection.
             return 0.0
         bound_ms = FIRST_DELAY_BOUND_MS * 2 ** (attempt.attempts - 1)
         bound_ms = min(MAX_DELAY_BOUND_MS, bound_ms)
--- a/packages/pomelobank-core/src/pomelobank_core/_retry_budget.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_retry_budget.py
@@ -10,18 +10,19 @@
 # instead of a multiple. Over 13 hops the load grows to at most 1.1^13 = 3.5
 # times, where three attempts at each hop would make 3^13 = 1.6 million times.
 BUDGET_RATIO = 0.1
-# Maximum number of saved retries, for bursts of failures such as the death of a
-# target with ten requests.
+# Maximum number of saved retries. The saved retries serve bursts of failures,
+# such as the death of a target with ten requests.
 MAX_BUDGET = 20.0
 # Retries added each second, so that an upstream with one request a minute may
 # still retry that request.
 MIN_REFILL_PER_S = 0.5
 # Fraction of the mesh's retry budget that the nodes use. The remainder covers
-# retries that no node counts: calls that a repeated request makes again, and
-# nodes whose member lists differ.
+# calls that a repeated request makes again, which no node counts as retries,
+# and nodes whose member lists are incomplete, so that their shares of the
+# budget are too large.
 USABLE_FRACTION = 0.6
-# Number of buckets of a sliding window; an attempt is counted for at most one
-# tenth of the window too long.
+# Number of buckets of a sliding window. Attempts expire with their whole
+# bucket, up to one tenth of the window late.
 _BUCKET_COUNT = 10
 _MS_PER_S = 1000.0
 
@@ -107,11 +108,12 @@
 class MeshRetryBudget:
     """One node's share of a retry budget for the whole mesh.
 
-    For operators who limit the retries that all nodes together send in any
-    window of some seconds. Token buckets that are full after a calm minute
-    would let every node spend its bucket at the same time, as soon as a fault
-    begins, and an upstream with few requests would get several times the limit.
-    A count of the retries in a sliding window never exceeds the node's share.
+    This budget is for operators who limit the retries that all nodes together
+    send in any window of some seconds. Token buckets that are full after a calm
+    minute would let every node spend its bucket at the same time, as soon as a
+    fault begins, and an upstream with few requests would get several times the
+    limit. A count of the retries in a sliding window never exceeds the node's
+    share.
 
     Attributes:
         ratio: Allowed retries as a fraction of the first attempts.
--- a/packages/pomelobank-core/src/pomelobank_core/_route_times.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_route_times.py
@@ -11,11 +11,12 @@
 # Weight of a sample of less than half the expected time. The average of a
 # target that recovers from a stall must fall within a few responses.
 RECOVERY_SAMPLE_WEIGHT = 0.4
-# Maximum value of a sample, as a multiple of the expected time: one request in
-# a hundred takes that long, and a pause of the machine takes even longer.
+# Maximum value of a sample, as a multiple of the expected time. One request in
+# a hundred takes that long, and a pause of the machine takes even longer; a
+# single such sample must not raise the average further.
 MAX_SAMPLE_RATIO = 4.0
-# Age after which an average without new samples decays, and the half-life of
-# the decay. A route with one request a second gets its samples well within it.
+# Age after which an average without new samples decays, and half-life of the
+# decay. A route with one request a second normally has a new sample by then.
 HALF_LIFE_MS = 1000.0
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/_slot_sharing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_slot_sharing.py
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class GuaranteedShared:
-    """Guarantees each class some slots; all classes share the others.
+    """Guarantees each class some slots; all classes share the other slots.
 
     Attributes:
         percent: Guaranteed percentage of the slots, by class.
--- a/packages/pomelobank-core/src/pomelobank_core/_snapshots.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_snapshots.py
@@ -194,8 +194,8 @@
 
     Every node runs a schedule. A node's delay before its write grows with the
     node's rank in a hash order, so that usually only one node writes. Two
-    snapshots from two nodes do no harm, because replay skips snapshots. No
-    lease is needed that could expire.
+    snapshots from two nodes do no harm, because replay skips snapshots.
+    Therefore, the nodes need no lease, which could expire.
 
     Attributes:
         settings: Retention and delay between two nodes' turns.
--- a/packages/pomelobank-core/src/pomelobank_core/_swim.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim.py
@@ -28,10 +28,11 @@
 
 # Number of members that probe an unresponsive member indirectly. If one stream
 # in ten is broken at random, all three indirect probes fail for 1 probe in
-# 1,000.
+# 1,000, so that a healthy member is rarely suspected.
 INDIRECT_PROBES = 3
 # Minimum fraction of differing buckets after which a node soon compares its
-# table again, because one of the two nodes has just started or was partitioned.
+# table again, because one of the two nodes has most likely just started or was
+# partitioned.
 _BULK_FRACTION = 1 / 8
 # Maximum size of the gossip in one probe or reply before compression, which
 # reduces the size to a quarter. A node sends four such frames a second, so a
@@ -58,7 +59,8 @@
 RECENTLY_GONE_MS = 15_000
 # Number of members that poll a recently gone member. With two pollers, the loss
 # of one poller does not matter; if all 1,000 members polled, a restarted node
-# would have to accept a thousand handshakes.
+# would have to accept the connections of a thousand pollers, with a handshake
+# for each.
 POLLERS_PER_GONE_MEMBER = 2
 
 
@@ -198,7 +200,8 @@
     def _detect_pause(self, now_ms: int) -> None:
         # After a pause of this process, every pending probe has timed out,
         # although the probed members may have replied. The node would suspect
-        # all of them, so it drops the pending probes and extends suspicions.
+        # all probed members, so it drops the pending probes and extends the
+        # suspicions.
         last_ms, self.last_tick_ms = self.last_tick_ms, now_ms
         if last_ms is None:
             return
@@ -441,7 +444,8 @@
         self.queue.add(self.table.own.node)
         gossip = Gossip(members=(self.table.own,))
         # A stream to a member that does not respond takes a second to fail, so
-        # the frames to suspect members go last and do not delay the others.
+        # the frames to suspect members go last and do not delay the frames to
+        # other members.
         suspect = MemberState.SUSPECT.value
         present = sorted(
             self.table.present(), key=lambda entry: entry.state == suspect
@@ -513,7 +517,7 @@
         return [self.sync_request(self.random.choice(gone))]
 
     def acquire_sync_budget(self, size_bytes: int, now_ms: int) -> bool:
-        """Returns whether the budget of this second allows one more reply.
+        """Returns whether the budget of this second allows a reply.
 
         The first reply of a second is always allowed, whatever its size. An
         allowed reply is deducted from the budget.
--- a/packages/pomelobank-core/src/pomelobank_core/_swim_frames.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim_frames.py
@@ -17,7 +17,8 @@
 
 # Number of members in a reply that refers a node to other members for its table
 # comparison. In the first second of a simultaneous start of many nodes, nearly
-# all nodes are referred, so that the referrals cost more bytes than the tables.
+# all nodes are referred, and the referrals cost more bytes than the tables, so
+# a referral names few members.
 _REFERRAL_COUNT = 3
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/_target_load.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_target_load.py
@@ -8,7 +8,8 @@
 from pomelobank_core._latency_ratio import LatencyRatio
 
 # Age at which a target node's load report is ignored. At 20 slots and 10 ms a
-# request, the target has served a thousand requests within 500 ms.
+# request, the target has served a thousand requests within 500 ms, so an older
+# report says nothing about the present load.
 REPORT_LIFE_MS = 500
 # Time until a new or returned target gets its full share of requests. Ten
 # seconds cover the cold start of most services and are short compared with a
@@ -23,7 +24,7 @@
     """A target's refusal of one traffic class.
 
     Attributes:
-        at_ms: Time of the refusal; minus infinity if the target only would
+        at_ms: Time of the refusal; minus infinity if the target would only
             have queued the request longer than the entry node allowed.
         until_ms: Time until which the target counts as full.
         retry_after_ms: Time from the refusal until the target expects a free
@@ -104,7 +105,7 @@
         return hint is not None and now_ms < hint.until_ms
 
     def usable_slots(self, slots: int, now_ms: float) -> float:
-        """Returns the slots that the ramp allows; at least 1."""
+        """Returns the slots that the slow start allows; at least 1."""
         return max(1.0, slots * self.ramp.fraction(now_ms - self.ramp_from_ms))
 
     def cost(self, slots: int, latency_ratio: float, now_ms: float) -> float:
--- a/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
@@ -246,8 +246,9 @@
         data_centre_ratio.add(ratio, now_ms)
 
     def _latency_ratio(self, target: MemberEntry, now_ms: float) -> float:
-        # Each of many remote targets responds to this node only occasionally.
-        # The other targets of the same data centre are as good an estimate.
+        # Each of many remote targets responds to this node only occasionally,
+        # so that the target's own ratio is often outdated. The ratio of all
+        # targets of its data centre is as good an estimate.
         data_centre_ratio = self.latency_ratios.get(
             (target.upstream, target.data_centre)
         )
@@ -270,7 +271,8 @@
         self.known[targets[0].upstream] = candidates
         if before is None:
             # Targets known at the first pick are assumed to be running already.
-            # Only targets that join later are cold and need the ramp.
+            # Targets that join or restart later are cold and need a slow start
+            # (`Ramp`).
             return
         old = {item.node: item.incarnation for item in before.targets}
         for target in targets:
@@ -416,7 +418,8 @@
     elif outcome.result is TargetResult.WOULD_WAIT:
         # The target would have accepted the request after a longer wait. The
         # hint therefore must not make the entry node refuse callers: a refusal
-        # time of minus infinity excludes it from all_full_retry_after_ms().
+        # time of minus infinity excludes the hint from
+        # all_full_retry_after_ms().
         load.full_hints[outcome.traffic_class] = FullHint(
             -math.inf, until_ms, 0
         )
--- a/packages/pomelobank-core/src/pomelobank_core/_validation.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_validation.py
@@ -84,7 +84,7 @@
     A check of a large configuration takes milliseconds for each record, and a
     node that starts replays thousands of records. In a configuration that was
     consistent before, a transaction can only make those objects inconsistent
-    that the transaction wrote or removed, and those that refer to these.
+    that it wrote or removed, and the objects that refer to them.
 
     Args:
         objects: All objects after the transaction. The objects before the
