--- a/packages/pomelobank-core/src/pomelobank_core/_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_admission.py
@@ -68,7 +68,7 @@
         service_times: Measured service times.
         running: Number of requests at the target, by class.
         queues: Queued requests, by class.
-        seen_ms: Time of each class's last request.
+        last_request_ms: Time of each class's last request.
     """
 
     policy: AdmissionPolicy
@@ -80,7 +80,7 @@
     queues: dict[TrafficClass, deque[AdmissionRequest]] = attrs.field(
         factory=_queues
     )
-    seen_ms: dict[TrafficClass, float] = attrs.field(factory=dict)
+    last_request_ms: dict[TrafficClass, float] = attrs.field(factory=dict)
 
     @property
     def in_flight(self) -> int:
@@ -104,7 +104,7 @@
         Returns:
             Whether the request starts, waits or is rejected.
         """
-        self.seen_ms[request.traffic_class] = now_ms
+        self.last_request_ms[request.traffic_class] = now_ms
         return super().offer(request, now_ms)
 
     def expected_service_ms(self, route: str, now_ms: float) -> float:
@@ -233,7 +233,7 @@
         if not isinstance(self.policy, GuaranteedShared):
             return 0
         guaranteed = self.policy.slots_for(traffic_class, self.limit.current)
-        seen_ms = self.seen_ms.get(traffic_class)
+        seen_ms = self.last_request_ms.get(traffic_class)
         if seen_ms is not None and now_ms - seen_ms < CLASS_IDLE_AFTER_MS:
             return guaranteed
         # One slot stays reserved for the first interactive request after a
--- a/packages/pomelobank-core/src/pomelobank_core/_bootstrap_contacts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_bootstrap_contacts.py
@@ -24,7 +24,7 @@
 # name members that have most likely been replaced.
 TAIL_RECORDS = 64
 # Maximum number of addresses that a node contacts in one round.
-TRIES_AT_ONCE = 3
+ATTEMPTS_PER_ROUND = 3
 # Maximum age of the newest record before a new one is written. The interval is
 # well below the retention time of the log.
 REFRESH_MS = 300_000
@@ -103,7 +103,7 @@
             for address, attempts in self.attempts.items()
             if address != own_address
         )
-        chosen = [address for _, _, address in ranked[:TRIES_AT_ONCE]]
+        chosen = [address for _, _, address in ranked[:ATTEMPTS_PER_ROUND]]
         for address in chosen:
             self.attempts[address] += 1
         return chosen
@@ -126,7 +126,7 @@
         ]
         for address in chosen:
             self.attempts[address] += 1
-        return chosen[:TRIES_AT_ONCE]
+        return chosen[:ATTEMPTS_PER_ROUND]
 
     def has_unattempted(self, own_address: str) -> bool:
         """Returns whether an address was never attempted."""
--- a/packages/pomelobank-core/src/pomelobank_core/_candidates.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_candidates.py
@@ -42,14 +42,15 @@
 
     Attributes:
         table: The members.
-        seen: Value of the table's `serving_changes` at the last rebuild.
+        indexed_serving_changes: Value of the table's `serving_changes` at the
+            last rebuild.
         by_upstream: Targets by upstream, filled on first use.
         available: Upstreams with at least one target.
         builds: Number of rebuilds.
     """
 
     table: MemberTable
-    seen: int = -1
+    indexed_serving_changes: int = -1
     by_upstream: dict[str, Candidates] = attrs.field(factory=dict)
     available: frozenset[str] = frozenset()
     builds: int = 0
@@ -68,9 +69,9 @@
         return self.available
 
     def _refresh(self) -> None:
-        if self.seen == self.table.serving_changes:
+        if self.indexed_serving_changes == self.table.serving_changes:
             return
-        self.seen = self.table.serving_changes
+        self.indexed_serving_changes = self.table.serving_changes
         self.builds += 1
         self.by_upstream.clear()
         self.available = self.table.available_upstreams()
--- a/packages/pomelobank-core/src/pomelobank_core/_claim_batcher.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claim_batcher.py
@@ -18,11 +18,11 @@
 # Capacity of the shard's token bucket of appends. While a shard is idle, the
 # bucket fills, so that the next few claims are appended without delay. All
 # sixteen shards together can send the log a burst of 64 appends.
-MAX_SAVED_APPENDS = 4.0
+MAX_TOKENS = 4.0
 # Deferred records are appended together with the next claim, or after this time
 # if no claim arrives. The limit is short enough that a caller that retries
 # through another node after a crash finds the record.
-LAZY_WAIT_MS = 200
+DEFERRED_WAIT_MS = 200
 # Exponential back-off after failed appends: first and longest pause.
 FIRST_PAUSE_MS = 200
 MAX_PAUSE_MS = 2000
@@ -43,9 +43,9 @@
         appends_per_s: Appends that the shard may make per second.
         urgent: Items that a caller waits for.
         deferred: Items that no caller waits for.
-        saved: Tokens in the bucket: appends that may be made without delay.
-        saved_at_ms: When the bucket was last refilled.
-        lazy_since_ms: Start of the wait of the deferred items.
+        tokens: Tokens in the bucket: appends that may be made without delay.
+        refilled_at_ms: When the bucket was last refilled.
+        deferred_since_ms: Start of the wait of the deferred items.
         appending: Whether an append is under way.
         append_ms: Moving average of the duration of an append.
         paused_until_ms: End of the pause after a failed append.
@@ -56,9 +56,9 @@
     appends_per_s: float
     urgent: deque[ItemT] = attrs.field(factory=deque)
     deferred: deque[ItemT] = attrs.field(factory=deque)
-    saved: float = MAX_SAVED_APPENDS
-    saved_at_ms: int = 0
-    lazy_since_ms: int = 0
+    tokens: float = MAX_TOKENS
+    refilled_at_ms: int = 0
+    deferred_since_ms: int = 0
     appending: bool = False
     append_ms: float = 5.0
     paused_until_ms: int = 0
@@ -66,14 +66,14 @@
     rejected: int = 0
 
     def offer(
-        self, item: ItemT, now_ms: int, patience_ms: int
+        self, item: ItemT, now_ms: int, max_wait_ms: int
     ) -> Result[None, int]:
         """Queues an item that a caller waits for, or rejects it.
 
         Args:
             item: The item.
             now_ms: Current time.
-            patience_ms: How long the caller can wait for the append.
+            max_wait_ms: How long the caller can wait for the append.
 
         Returns:
             Success, or the time in ms after which the caller should retry.
@@ -82,7 +82,7 @@
             self.rejected += 1
             return Failure(self.paused_until_ms - now_ms)
         wait_ms = self._expected_wait_ms(now_ms)
-        if wait_ms > patience_ms:
+        if wait_ms > max_wait_ms:
             self.rejected += 1
             return Failure(wait_ms)
         self.urgent.append(item)
@@ -91,20 +91,22 @@
     def defer(self, item: ItemT, now_ms: int) -> None:
         """Queues an item that no caller waits for."""
         if not self.deferred:
-            self.lazy_since_ms = now_ms
+            self.deferred_since_ms = now_ms
         self.deferred.append(item)
 
     def _expected_wait_ms(self, now_ms: int) -> int:
         self._refill(now_ms)
         batches = len(self.urgent) // MAX_BATCH + 1 + self.appending
-        missing = max(0.0, batches - self.saved)
+        missing = max(0.0, batches - self.tokens)
         rate_wait_ms = missing * _MS_PER_S / self.appends_per_s
         return math.ceil(max(rate_wait_ms, batches * self.append_ms))
 
     def _refill(self, now_ms: int) -> None:
-        refilled = (now_ms - self.saved_at_ms) * self.appends_per_s / _MS_PER_S
-        self.saved = min(MAX_SAVED_APPENDS, self.saved + max(0.0, refilled))
-        self.saved_at_ms = now_ms
+        refilled = (
+            (now_ms - self.refilled_at_ms) * self.appends_per_s / _MS_PER_S
+        )
+        self.tokens = min(MAX_TOKENS, self.tokens + max(0.0, refilled))
+        self.refilled_at_ms = now_ms
 
     def wait_ms(self, now_ms: int) -> int | None:
         """Returns how long to wait before the next call of `next_batch`.
@@ -121,16 +123,16 @@
         if not self.urgent:
             # An append of deferred items alone waits until the bucket is full,
             # so that the claims that follow still find tokens.
-            needed = MAX_SAVED_APPENDS
-            waits.append(self.lazy_since_ms + LAZY_WAIT_MS - now_ms)
-        missing = max(0.0, needed - self.saved)
+            needed = MAX_TOKENS
+            waits.append(self.deferred_since_ms + DEFERRED_WAIT_MS - now_ms)
+        missing = max(0.0, needed - self.tokens)
         waits.append(math.ceil(missing * _MS_PER_S / self.appends_per_s))
         return max(waits)
 
     def next_batch(self, now_ms: int) -> list[ItemT]:
         """Returns the items of the next append; call it if `wait_ms` is 0."""
         self._refill(now_ms)
-        self.saved -= 1.0
+        self.tokens -= 1.0
         self.appending = True
         batch = _pop(self.urgent, MAX_BATCH)
         return batch + _pop(self.deferred, MAX_BATCH)
@@ -165,7 +167,7 @@
         self.paused_until_ms = now_ms + self.pause_ms
         for item in reversed(to_retry):
             self.deferred.appendleft(item)
-        self.lazy_since_ms = now_ms
+        self.deferred_since_ms = now_ms
         waiting = list(self.urgent)
         self.urgent.clear()
         self.rejected += len(waiting)
--- a/packages/pomelobank-core/src/pomelobank_core/_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claims.py
@@ -177,17 +177,17 @@
             log had trimmed them before the reader started; 0 if none can be
             missing.
         claims: The claims that hold their keys, oldest first.
-        trimmed: Whether records were trimmed and the first kept record has not
-            been applied yet.
-        restarted_ms: When the reader last started, since the epoch.
+        awaits_first_retained: Whether records were trimmed and the first kept
+            record has not been applied yet.
+        reader_started_ms: When the reader last started, since the epoch.
     """
 
     next_offset: int = 0
     stream_time_ms: int = 0
     complete_from_ms: int = 0
     claims: dict[bytes, Claim] = attrs.field(factory=dict)
-    trimmed: bool = False
-    restarted_ms: int = 0
+    awaits_first_retained: bool = False
+    reader_started_ms: int = 0
 
     def reset(self, first_offset: int, now_ms: int) -> None:
         """Clears the table to replay from the oldest record in the log.
@@ -196,12 +196,12 @@
             first_offset: Offset of that record.
             now_ms: Current time, since the epoch.
         """
-        self.restarted_ms = now_ms
+        self.reader_started_ms = now_ms
         self.next_offset = first_offset
         self.stream_time_ms = 0
         self.complete_from_ms = 0
         self.claims.clear()
-        self.trimmed = first_offset > 0
+        self.awaits_first_retained = first_offset > 0
 
     def apply(self, offset: int, batch: ClaimBatch) -> list[ClaimEvent]:
         """Applies the next record of the stream.
@@ -222,7 +222,7 @@
                 " offset to apply"
             )
         self.next_offset = offset + 1
-        if self.trimmed:
+        if self.awaits_first_retained:
             self._set_complete_from(offset, batch)
         self.stream_time_ms = max(self.stream_time_ms, batch.at_ms)
         self._evict_expired()
@@ -244,10 +244,10 @@
         # trimmed record, provided that its writer had read all records before
         # it; otherwise trimmed claims may be as recent as the reader's start.
         # No key counts as new until the window has passed since that time.
-        self.trimmed = False
+        self.awaits_first_retained = False
         trimmed_until_ms = batch.previous_at_ms
         if batch.seen_offset < offset:
-            trimmed_until_ms = self.restarted_ms
+            trimmed_until_ms = self.reader_started_ms
         if trimmed_until_ms:
             self.complete_from_ms = trimmed_until_ms + batch.window_ms
 
--- a/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_concurrency.py
@@ -53,9 +53,9 @@
         decreases: How often the limit was lowered.
         baselines: Long-term average service time of each route.
         ratio: Average ratio of recent service times to their baseline.
-        answers: Number of responses since the limit last changed.
-        shed_at: Limit at which the target shed load last; 0 if the target never
-            did.
+        responses_since_step: Number of responses since the limit last changed.
+        last_shed_limit: Limit at which the target shed load last; 0 if the
+            target never did.
     """
 
     slots: int
@@ -67,8 +67,8 @@
     ratio: MovingAverage = attrs.field(
         factory=lambda: MovingAverage(weight=RECENT_SAMPLE_WEIGHT)
     )
-    answers: int = 0
-    shed_at: int = 0
+    responses_since_step: int = 0
+    last_shed_limit: int = 0
 
     @classmethod
     def start(cls, slots: int) -> "ConcurrencyLimit":
@@ -95,12 +95,12 @@
             took_ms: Service time of the request.
             busy: Number of requests at the target, this one included.
         """
-        self.answers += 1
+        self.responses_since_step += 1
         self.ratio.add(self._ratio_to_baseline(route, took_ms))
         if self.cold:
             self._step_up()
             return
-        if self.answers < self.current:
+        if self.responses_since_step < self.current:
             return
         slowness = self.ratio.value or 0.0
         if slowness > SLOW_RATIO:
@@ -111,13 +111,13 @@
 
     def on_shed(self) -> None:
         """Adjusts the limit to a response that sheds load."""
-        self.answers += 1
+        self.responses_since_step += 1
         self.cold = False
         # Requests that were at the target together are shed for the same cause,
         # so the limit falls once for them; otherwise one burst of shed requests
         # would lower the limit to 1.
-        if self.decreases == 0 or self.answers >= self.current:
-            self.shed_at = self.current
+        if self.decreases == 0 or self.responses_since_step >= self.current:
+            self.last_shed_limit = self.current
             self._step_down("target sheds", 1)
 
     def reset(self) -> None:
@@ -125,7 +125,7 @@
         self.current = max(1, self.slots // COLD_START_DIVISOR)
         self.cold = True
         self.reason = "cold start"
-        self.answers = 0
+        self.responses_since_step = 0
 
     def _ratio_to_baseline(self, route: str, took_ms: float) -> float:
         baseline = self.baselines.get(route)
@@ -138,22 +138,22 @@
         return baseline.ratio(max(took_ms, 1.0))
 
     def _step_up_if_allowed(self) -> None:
-        rounds = self.answers // self.current
-        if self.current + 1 == self.shed_at:
+        rounds = self.responses_since_step // self.current
+        if self.current + 1 == self.last_shed_limit:
             if rounds < ROUNDS_BEFORE_SHED_LIMIT:
                 return
-            self.shed_at = 0
+            self.last_shed_limit = 0
         self._step_up()
 
     def _step_up(self) -> None:
-        self.answers = 0
+        self.responses_since_step = 0
         self.current = min(self.slots, self.current + 1)
         if self.current == self.slots:
             self.cold = False
             self.reason = ""
 
     def _step_down(self, reason: str, min_limit: int) -> None:
-        self.answers = 0
+        self.responses_since_step = 0
         lowered = max(min_limit, int(self.current * DECREASE_FACTOR))
         if lowered < self.current:
             self.current = lowered
--- a/packages/pomelobank-core/src/pomelobank_core/_distribution.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_distribution.py
@@ -29,10 +29,10 @@
 # Delay of a pull after a digest that announces a new version. The digest
 # usually arrives one hop before the pushed records. Without the delay, most
 # records would be sent twice.
-NEWS_DELAY_MS = 25
+PULL_DELAY_MS = 25
 # Time after which an unanswered pull, for example to a dead member, may be
 # repeated.
-PULL_PATIENCE_MS = 250
+PULL_TIMEOUT_MS = 250
 
 # Limits of the random pause after a failed read of the log. When hundreds of
 # nodes lose the log at the same instant, random pauses up to a doubling limit
@@ -217,7 +217,7 @@
         read_due_ms: Earliest time of the next read, None while none is due.
         pull_until_ms: Time until which no further pull is sent, because the
             response to the last one is expected.
-        live: Nodes and addresses that the neighbours were chosen from.
+        live_members: Nodes and addresses that the neighbours were chosen from.
     """
 
     settings: DistributionSettings
@@ -231,7 +231,7 @@
     reached_end: bool = False
     read_due_ms: int | None = None
     pull_until_ms: int = 0
-    live: list[tuple[str, str]] = attrs.field(factory=list)
+    live_members: list[tuple[str, str]] = attrs.field(factory=list)
 
     def update_members(
         self, own: MemberEntry, others: Iterable[MemberEntry]
@@ -243,9 +243,9 @@
         # Sorting a thousand members takes some milliseconds, and the members of
         # an idle mesh do not change between two heartbeats.
         live = _live_members(others)
-        if live == self.live:
+        if live == self.live_members:
             return
-        self.live = live
+        self.live_members = live
         found = find_neighbours(own, others, self.settings)
         if found.is_reader != self.neighbours.is_reader:
             self.read_due_ms = None
@@ -410,6 +410,6 @@
         # records are needed from only one of them.
         if now_ms < self.pull_until_ms:
             return []
-        self.pull_until_ms = now_ms + PULL_PATIENCE_MS
-        delay_ms = 0 if digest.heartbeat else NEWS_DELAY_MS
+        self.pull_until_ms = now_ms + PULL_TIMEOUT_MS
+        delay_ms = 0 if digest.heartbeat else PULL_DELAY_MS
         return [PullRecords(digest.address, digest.version, delay_ms)]
--- a/packages/pomelobank-core/src/pomelobank_core/_ejection.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_ejection.py
@@ -12,11 +12,11 @@
 # connections. The pause doubles with every further failure, so that a target
 # that stays down gets only one probe in 30 s.
 FIRST_PAUSE_MS = 1000
-LONGEST_PAUSE_MS = 30_000
+MAX_PAUSE_MS = 30_000
 # Maximum fraction of an upstream's targets that are ejected at once. When all
 # targets fail, the targets are rarely the cause, and sending all requests to
 # the last few targets that have not failed yet would overload these as well.
-EJECTED_PART = 0.5
+MAX_EJECTED_FRACTION = 0.5
 
 
 @attrs.define
@@ -84,9 +84,9 @@
         if not self.ejected and not may_eject:
             return False
         newly_ejected = not self.ejected
-        pause_ms = min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2**self.pauses)
+        pause_ms = min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2**self.pauses)
         self.until_ms = now_ms + pause_ms * rng.uniform(0.8, 1.2)
-        self.pauses = min(self.pauses + 1, LONGEST_PAUSE_MS.bit_length())
+        self.pauses = min(self.pauses + 1, MAX_PAUSE_MS.bit_length())
         return newly_ejected
 
     def on_abandoned(self) -> None:
@@ -111,4 +111,4 @@
     >>> may_eject(0, 1), may_eject(1, 4), may_eject(2, 4)
     (False, True, False)
     """
-    return ejected + 1 <= targets * EJECTED_PART
+    return ejected + 1 <= targets * MAX_EJECTED_FRACTION
--- a/packages/pomelobank-core/src/pomelobank_core/_exchange.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_exchange.py
@@ -258,15 +258,15 @@
 
     Attributes:
         period_ms: Length of a period in ms.
-        current_least: Minimum difference of the current period, in ms.
-        previous_least: Minimum difference of the previous period, in ms.
-        period_began_ms: Start of the current period.
+        current_min_ms: Minimum difference of the current period, in ms.
+        previous_min_ms: Minimum difference of the previous period, in ms.
+        period_start_ms: Start of the current period.
     """
 
     period_ms: int = 60_000
-    current_least: int | None = None
-    previous_least: int | None = None
-    period_began_ms: int = 0
+    current_min_ms: int | None = None
+    previous_min_ms: int | None = None
+    period_start_ms: int = 0
 
     def age_ms(self, sent_ms: int, received_ms: int) -> int:
         """Returns how long a frame was delayed, in ms.
@@ -279,13 +279,13 @@
             Delay beyond that of the fastest recent frame; 0 for the fastest.
         """
         difference_ms = received_ms - sent_ms
-        if received_ms - self.period_began_ms >= self.period_ms:
-            self.previous_least = self.current_least
-            self.current_least = None
-            self.period_began_ms = received_ms
-        if self.current_least is None or difference_ms < self.current_least:
-            self.current_least = difference_ms
-        min_difference_ms = self.current_least
-        if self.previous_least is not None:
-            min_difference_ms = min(min_difference_ms, self.previous_least)
+        if received_ms - self.period_start_ms >= self.period_ms:
+            self.previous_min_ms = self.current_min_ms
+            self.current_min_ms = None
+            self.period_start_ms = received_ms
+        if self.current_min_ms is None or difference_ms < self.current_min_ms:
+            self.current_min_ms = difference_ms
+        min_difference_ms = self.current_min_ms
+        if self.previous_min_ms is not None:
+            min_difference_ms = min(min_difference_ms, self.previous_min_ms)
         return difference_ms - min_difference_ms
--- a/packages/pomelobank-core/src/pomelobank_core/_latency_ratio.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_latency_ratio.py
@@ -10,7 +10,7 @@
 SAMPLE_WEIGHT = 0.2
 # Age at which a measured ratio is ignored. A queue of requests that take half a
 # second each is empty by then, so that the target should get requests again.
-KNOWN_MS = 5000.0
+SAMPLE_MAX_AGE_MS = 5000.0
 # Ratio assumed for a target without measurements: latency objectives of the
 # users' routes are three times the expected response time.
 DEFAULT_LATENCY_RATIO = 1 / 3
@@ -40,7 +40,7 @@
         self.at_ms = now_ms
 
     def at(
-        self, now_ms: float, otherwise: float = DEFAULT_LATENCY_RATIO
+        self, now_ms: float, default: float = DEFAULT_LATENCY_RATIO
     ) -> float:
         """Returns the ratio, which approaches another estimate with its age.
 
@@ -48,17 +48,17 @@
         so that no new sample would be measured and the target would never get
         requests again.
 
-        >>> LatencyRatio(value=1.0, at_ms=0).at(2500, otherwise=0.5)
+        >>> LatencyRatio(value=1.0, at_ms=0).at(2500, default=0.5)
         0.75
 
         Args:
             now_ms: Current time.
-            otherwise: Estimate used when the last sample is too old.
+            default: Estimate used when the last sample is too old.
         """
         if self.at_ms is None:
-            return otherwise
-        weight = max(0.0, 1 - (now_ms - self.at_ms) / KNOWN_MS)
-        return otherwise + weight * (self.value - otherwise)
+            return default
+        weight = max(0.0, 1 - (now_ms - self.at_ms) / SAMPLE_MAX_AGE_MS)
+        return default + weight * (self.value - default)
 
 
 @attrs.define
--- a/packages/pomelobank-core/src/pomelobank_core/_members.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_members.py
@@ -11,7 +11,7 @@
 # Maximum number of tombstones. On an ordinary day at most 350 members are
 # replaced, so the limit covers a week at about 100 bytes per member and keeps a
 # faulty peer from filling the node's memory.
-FORGOTTEN_LIMIT = 4096
+MAX_TOMBSTONES = 4096
 
 
 class MemberState(enum.Enum):
@@ -104,8 +104,8 @@
         serving_changes: Counter of the changes of the members that serve, their
             upstreams, slots and addresses.
         revision: Counter of all changes of the table.
-        candidates: Cache of `ready_for` by upstream.
-        known_present: Cache of `present`.
+        candidates_cache: Cache of `ready_for` by upstream.
+        present_cache: Cache of `present`.
     """
 
     own: MemberEntry
@@ -115,10 +115,10 @@
     stale_entries: int = 0
     serving_changes: int = 0
     revision: int = 0
-    candidates: dict[str, list[MemberEntry]] = attrs.field(
+    candidates_cache: dict[str, list[MemberEntry]] = attrs.field(
         factory=dict, init=False, repr=False
     )
-    known_present: list[MemberEntry] | None = attrs.field(
+    present_cache: list[MemberEntry] | None = attrs.field(
         default=None, init=False, repr=False
     )
 
@@ -251,7 +251,7 @@
         self.serving_changes += 1
         self._on_changed()
         self.tombstones[node] = EntryRank.of(entry)
-        while len(self.tombstones) > FORGOTTEN_LIMIT:
+        while len(self.tombstones) > MAX_TOMBSTONES:
             self.tombstones.pop(next(iter(self.tombstones)))
 
     def known_entry(self, node: str) -> MemberEntry | None:
@@ -275,17 +275,17 @@
         """Returns the other members that are not gone."""
         # Cached, because each frame and each tick reads the list, while the
         # table changes rarely.
-        if self.known_present is None:
+        if self.present_cache is None:
             gone = MemberState.GONE.value
-            self.known_present = [
+            self.present_cache = [
                 entry for entry in self.others.values() if entry.state != gone
             ]
-        return list(self.known_present)
+        return list(self.present_cache)
 
     def _on_changed(self) -> None:
         self.revision += 1
-        self.candidates.clear()
-        self.known_present = None
+        self.candidates_cache.clear()
+        self.present_cache = None
 
     def ready_for(self, upstream: str) -> list[MemberEntry]:
         """Returns the members whose target serves an upstream.
@@ -298,9 +298,9 @@
         to a suspect that is down costs one refused stream; the request was not
         run, so the node sends it to another target.
         """
-        if upstream not in self.candidates:
-            self.candidates[upstream] = self._find_candidates(upstream)
-        return list(self.candidates[upstream])
+        if upstream not in self.candidates_cache:
+            self.candidates_cache[upstream] = self._find_candidates(upstream)
+        return list(self.candidates_cache[upstream])
 
     def _find_candidates(self, upstream: str) -> list[MemberEntry]:
         serving = [entry for entry in self.all() if entry.upstream == upstream]
--- a/packages/pomelobank-core/src/pomelobank_core/_probing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_probing.py
@@ -11,23 +11,23 @@
 # centre with many members. A data centre of 30 nodes then makes seven such
 # exchanges a second, which are enough to pass on its gossip and to detect the
 # loss of another data centre.
-FAR_SHARE = 1 / 8
+MIN_REMOTE_FRACTION = 1 / 8
 # The same fraction while a member of another data centre is suspect. That whole
 # data centre may be lost, and with it all members that would probe the suspect
 # more often.
-DOUBTED_FAR_SHARE = 1 / 2
+SUSPECT_REMOTE_FRACTION = 1 / 2
 
 
-def far_share(neighbours: int) -> float:
+def remote_fraction(neighbours: int) -> float:
     """Returns the fraction of the exchanges that go to other data centres.
 
     Args:
         neighbours: Number of other members in the node's data centre.
 
-    >>> far_share(0), far_share(1), far_share(100)
+    >>> remote_fraction(0), remote_fraction(1), remote_fraction(100)
     (1.0, 0.5, 0.125)
     """
-    return max(FAR_SHARE, 1 / (1 + neighbours))
+    return max(MIN_REMOTE_FRACTION, 1 / (1 + neighbours))
 
 
 @attrs.define
@@ -61,16 +61,16 @@
 
 
 @attrs.define
-class Pass:
-    """Chooses every member once per pass, each pass in a new random order.
+class ProbeRound:
+    """Chooses every member once per round, each round in a new random order.
 
     With an independent random choice for each probe, a member could remain
-    without a probe for a long time. A pass bounds the time until the first
+    without a probe for a long time. A round bounds the time until the first
     probe of a dead member.
 
     Attributes:
         random: Source of randomness.
-        order: Members that this pass has not chosen yet, the next one last.
+        order: Members that this round has not chosen yet, the next one last.
     """
 
     random: random.Random
@@ -87,7 +87,7 @@
         return members[self.order.pop()] if self.order else None
 
     def insert(self, node: str) -> None:
-        """Inserts a new member at a random position of the current pass."""
+        """Inserts a new member at a random position of the current round."""
         position = self.random.randrange(len(self.order) + 1)
         self.order.insert(position, node)
 
@@ -99,8 +99,8 @@
     Attributes:
         random: Source of randomness.
         data_centre: The own data centre.
-        near: Pass over the members of the own data centre.
-        far: Pass over the members of all other data centres.
+        local_round: Round over the members of the own data centre.
+        remote_round: Round over the members of all other data centres.
         pending: Own probes by sequence number.
         relayed: Probes on behalf of other members by sequence number.
         next_sequence: Next sequence number; a number is never reused.
@@ -108,15 +108,15 @@
 
     random: random.Random
     data_centre: str = ""
-    near: Pass = attrs.field(init=False)
-    far: Pass = attrs.field(init=False)
+    local_round: ProbeRound = attrs.field(init=False)
+    remote_round: ProbeRound = attrs.field(init=False)
     pending: dict[int, Probe] = attrs.field(factory=dict)
     relayed: dict[int, RelayedProbe] = attrs.field(factory=dict)
     next_sequence: int = 1
 
     def __attrs_post_init__(self) -> None:
-        self.near = Pass(self.random)
-        self.far = Pass(self.random)
+        self.local_round = ProbeRound(self.random)
+        self.remote_round = ProbeRound(self.random)
 
     def choose(
         self,
@@ -137,16 +137,20 @@
         remote: dict[str, MemberEntry] = {}
         for entry in present:
             (local if self._is_local(entry) else remote)[entry.node] = entry
-        remote_share = far_share(len(local))
+        remote_share = remote_fraction(len(local))
         if not all(map(self._is_local, doubted)):
-            remote_share = max(remote_share, DOUBTED_FAR_SHARE)
+            remote_share = max(remote_share, SUSPECT_REMOTE_FRACTION)
         if remote and self.random.random() < remote_share:
-            return self.far.choose(remote)
-        return self.near.choose(local) or self.far.choose(remote)
+            return self.remote_round.choose(remote)
+        return self.local_round.choose(local) or self.remote_round.choose(
+            remote
+        )
 
     def insert(self, entry: MemberEntry) -> None:
-        """Inserts a new member at a random position of the current pass."""
-        current = self.near if self._is_local(entry) else self.far
+        """Inserts a new member at a random position of the current round."""
+        current = (
+            self.local_round if self._is_local(entry) else self.remote_round
+        )
         current.insert(entry.node)
 
     def _is_local(self, entry: MemberEntry) -> bool:
@@ -154,17 +158,17 @@
 
     def start_probe(self, node: str, now_ms: int) -> int:
         """Registers a probe of a member and returns its sequence number."""
-        sequence = self.take_sequence()
+        sequence = self.new_sequence()
         self.pending[sequence] = Probe(node, now_ms)
         return sequence
 
     def relay(self, requester: str, sequence: int, now_ms: int) -> int:
         """Registers a probe for another member; returns its sequence number."""
-        own_sequence = self.take_sequence()
+        own_sequence = self.new_sequence()
         self.relayed[own_sequence] = RelayedProbe(requester, sequence, now_ms)
         return own_sequence
 
-    def take_sequence(self) -> int:
+    def new_sequence(self) -> int:
         """Returns a new sequence number."""
         sequence = self.next_sequence
         self.next_sequence += 1
--- a/packages/pomelobank-core/src/pomelobank_core/_reading_order.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_reading_order.py
@@ -22,7 +22,7 @@
 READER_COUNT = 3
 # Time for which a node that cannot read is skipped. Such a node announces its
 # failure with every attempt, at least once a second.
-UNABLE_MS = 2500
+UNABLE_HOLD_MS = 2500
 
 
 class ReadingRole(enum.Enum):
@@ -45,23 +45,23 @@
 
     Attributes:
         members: The members that the node knows.
-        unable: Time until which a node is skipped, by address.
+        unable_until_ms: Time until which a node is skipped, by address.
         ranked: Sorted nodes of each data centre, including this node.
         revision: Revision of the member table at the last sort.
     """
 
     members: MemberTable
-    unable: dict[str, int] = attrs.field(factory=dict)
+    unable_until_ms: dict[str, int] = attrs.field(factory=dict)
     ranked: dict[str, list[MemberEntry]] = attrs.field(factory=dict)
     revision: int = -1
 
     def note_unable(self, address: str, now_ms: int) -> None:
         """Records that a node cannot read the source."""
-        self.unable[address] = now_ms + UNABLE_MS
+        self.unable_until_ms[address] = now_ms + UNABLE_HOLD_MS
 
     def note_able(self, address: str) -> None:
         """Records that a node knows of a successful read."""
-        self.unable.pop(address, None)
+        self.unable_until_ms.pop(address, None)
 
     def role(self, now_ms: int) -> ReadingRole:
         """Returns the role of this node."""
@@ -105,7 +105,7 @@
         # unless another node can read.
         if entry is self.members.own:
             return True
-        return self.unable.get(entry.peer_address, 0) <= now_ms
+        return self.unable_until_ms.get(entry.peer_address, 0) <= now_ms
 
     def _ranked_by_centre(self) -> dict[str, list[MemberEntry]]:
         if self.revision != self.members.revision:
--- a/packages/pomelobank-core/src/pomelobank_core/_replay.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_replay.py
@@ -21,7 +21,7 @@
     MUST_NOT_EXIST,
     Problem,
     ProblemKind,
-    check_touched,
+    check_affected_objects,
 )
 from pomelobank_schema.generated.records import ChangeRecord, OperationRecord
 
@@ -217,7 +217,7 @@
         problem = _apply_operation(objects, operation, version)
         if problem is not None:
             problems.append(problem)
-    problems.extend(check_touched(objects, _touched_keys(record)))
+    problems.extend(check_affected_objects(objects, _touched_keys(record)))
     if problems:
         return Failure(tuple(problems))
     return Success(MappingProxyType(objects))
--- a/packages/pomelobank-core/src/pomelobank_core/_routing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_routing.py
@@ -80,12 +80,12 @@
         end = path.rfind("/", 0, end)
 
 
-def has_prefix(path: str, prefix: str) -> bool:
+def path_matches_prefix(path: str, prefix: str) -> bool:
     """Returns whether a prefix matches whole segments of a path.
 
-    >>> has_prefix("/stock/12", "/stock")
+    >>> path_matches_prefix("/stock/12", "/stock")
     True
-    >>> has_prefix("/stocks", "/stock")
+    >>> path_matches_prefix("/stocks", "/stock")
     False
     """
     if prefix.endswith("/"):
--- a/packages/pomelobank-core/src/pomelobank_core/_swim.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_swim.py
@@ -103,7 +103,7 @@
         last_tick_ms: Time of the last tick, None before the first.
         next_probe_ms: When the next probe is due.
         next_sync_ms: When the next comparison with a member is due.
-        next_rejoin_ms: When the next comparison with a gone member is due.
+        next_gone_sync_ms: When the next comparison with a gone member is due.
         pauses: How often this process was paused.
         suspected: Suspicions that this node started, for the metrics.
         sync_second: The second that `sync_bytes` belongs to.
@@ -123,7 +123,7 @@
     last_tick_ms: int | None = None
     next_probe_ms: int = 0
     next_sync_ms: int = 0
-    next_rejoin_ms: int = 0
+    next_gone_sync_ms: int = 0
     pauses: int = 0
     suspected: int = 0
     sync_second: int = 0
@@ -170,8 +170,8 @@
                 self.settings.sync_period_ms
             )
             actions += self._sync_with_member()
-        if now_ms >= self.next_rejoin_ms:
-            self.next_rejoin_ms = now_ms + self._jittered(
+        if now_ms >= self.next_gone_sync_ms:
+            self.next_gone_sync_ms = now_ms + self._jittered(
                 self.settings.rejoin_period_ms
             )
             actions += self._sync_with_gone_member()
@@ -186,7 +186,7 @@
             ),
             self.next_probe_ms,
             self.next_sync_ms,
-            self.next_rejoin_ms,
+            self.next_gone_sync_ms,
             *self.suspicions.values(),
         )
 
--- a/packages/pomelobank-core/src/pomelobank_core/_target_load.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_target_load.py
@@ -9,13 +9,13 @@
 
 # Age at which a target node's load report is ignored. At 20 slots and 10 ms a
 # request, the target has served a thousand requests within 500 ms.
-REPORT_LIFE_MS = 500
+REPORT_MAX_AGE_MS = 500
 # Time until a new or returned target gets its full share of requests. Ten
 # seconds cover the cold start of most services and are short compared with a
 # load peak.
 RAMP_MS = 10_000
 # Fraction of its slots that a new or returned target gets at once.
-RAMP_START = 0.1
+RAMP_START_FRACTION = 0.1
 
 
 @attrs.frozen
@@ -44,7 +44,7 @@
         length_ms: Time until all slots are in use.
     """
 
-    start_fraction: float = RAMP_START
+    start_fraction: float = RAMP_START_FRACTION
     length_ms: float = RAMP_MS
 
     def fraction(self, age_ms: float) -> float:
@@ -90,10 +90,10 @@
     def estimated_requests(self, now_ms: float) -> float:
         """Returns the estimated requests at the target.
 
-        The weight of the last report falls to 0 within `REPORT_LIFE_MS`.
+        The weight of the last report falls to 0 within `REPORT_MAX_AGE_MS`.
         """
         age_ms = now_ms - self.reported_ms
-        weight = max(0.0, 1.0 - age_ms / REPORT_LIFE_MS)
+        weight = max(0.0, 1.0 - age_ms / REPORT_MAX_AGE_MS)
         return self.own_requests + self.other_requests * weight
 
     def is_full(self, traffic_class: str, now_ms: float) -> bool:
--- a/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_two_choices.py
@@ -25,19 +25,19 @@
 # When every target has refused a class within this time, the entry node also
 # refuses the class and saves the round trip. A queue of 200 ms does not become
 # empty within 20 ms.
-JUST_REFUSED_MS = 20
+REJECTION_MAX_AGE_MS = 20
 # Time for which a target that drains gets no requests. By then, its draining
 # membership entry must have arrived.
-LEAVING_HINT_MS = 5000
+NOT_ACCEPTING_HINT_MS = 5000
 # A request leaves the data centre when the latency ratio (response time divided
 # by latency objective) is lower in the remote one by more than this: a third of
 # the ratio of an unloaded target. Targets differ in speed by half; with a lower
 # threshold, this difference alone would move requests, and their bytes, back
 # and forth between data centres.
-FAR_PART = 0.12
+MIN_OVERFLOW_GAIN = 0.12
 # Maximum random draws in search of two usable targets. If the drawn targets are
 # unusable or full, all targets are compared.
-DRAWS = 4
+MAX_DRAWS = 4
 _COMPARED_TARGETS = 2
 
 
@@ -53,10 +53,10 @@
     Targets in the node's own data centre are preferred. A request overflows to
     a remote data centre when the picked local target is full and the remote one
     is not or costs less, or when the remote target's latency ratio is lower by
-    more than `FAR_PART`. Upstreams are not spread evenly: one data centre may
-    have the slow machines or most of the callers. If only a full local target
-    caused overflow, callers in such a data centre would wait in queues while
-    remote targets are idle.
+    more than `MIN_OVERFLOW_GAIN`. Upstreams are not spread evenly: one data
+    centre may have the slow machines or most of the callers. If only a full
+    local target caused overflow, callers in such a data centre would wait in
+    queues while remote targets are idle.
 
     Attributes:
         rng: Source of randomness.
@@ -65,7 +65,7 @@
         ejections: Number of ejections of targets.
         overflows: Requests sent to a remote data centre although the local one
             has a usable target.
-        known: Candidates of each upstream at its last pick.
+        last_candidates: Candidates of each upstream at its last pick.
         objectives: Computes the latency ratio of a response.
         latency_ratios: Latency ratios by upstream and data centre.
     """
@@ -75,7 +75,7 @@
     loads: dict[str, TargetLoad] = attrs.field(factory=dict)
     ejections: int = 0
     overflows: int = 0
-    known: dict[str, Candidates] = attrs.field(factory=dict)
+    last_candidates: dict[str, Candidates] = attrs.field(factory=dict)
     objectives: Objectives = attrs.field(factory=Objectives)
     latency_ratios: dict[tuple[str, str], LatencyRatio] = attrs.field(
         factory=dict
@@ -210,12 +210,12 @@
 
         Returns:
             Shortest retry delay of the targets in ms; 0 unless every target
-            refused the class within `JUST_REFUSED_MS`.
+            refused the class within `REJECTION_MAX_AGE_MS`.
         """
         soonest = 0
         for target in candidates.targets:
             hint = self._load(target).full_hints.get(traffic_class)
-            if hint is None or now_ms - hint.at_ms > JUST_REFUSED_MS:
+            if hint is None or now_ms - hint.at_ms > REJECTION_MAX_AGE_MS:
                 return 0
             soonest = min(soonest or hint.retry_after_ms, hint.retry_after_ms)
         return soonest
@@ -264,10 +264,10 @@
         targets = candidates.targets
         if not targets:
             return
-        before = self.known.get(targets[0].upstream)
+        before = self.last_candidates.get(targets[0].upstream)
         if before is candidates:
             return
-        self.known[targets[0].upstream] = candidates
+        self.last_candidates[targets[0].upstream] = candidates
         if before is None:
             # Targets known at the first pick are assumed to be running already.
             # Only targets that join later are cold and need the ramp.
@@ -297,7 +297,7 @@
         now_ms: float,
     ) -> MemberEntry | None:
         drawn: list[MemberEntry] = []
-        for _ in range(DRAWS):
+        for _ in range(MAX_DRAWS):
             if not targets or len(drawn) == _COMPARED_TARGETS:
                 break
             entry = targets[self.rng.randrange(len(targets))]
@@ -357,7 +357,7 @@
             return True
         return (
             self._latency_ratio(local, now_ms)
-            > DEFAULT_LATENCY_RATIO + FAR_PART
+            > DEFAULT_LATENCY_RATIO + MIN_OVERFLOW_GAIN
         )
 
     def _is_better(
@@ -377,7 +377,7 @@
         saved = self._latency_ratio(local, now_ms) - self._latency_ratio(
             remote, now_ms
         )
-        return saved > FAR_PART
+        return saved > MIN_OVERFLOW_GAIN
 
     def _any_target(
         self, candidates: Candidates, attempted: AbstractSet[str]
@@ -405,7 +405,7 @@
     load: TargetLoad, outcome: RequestOutcome, now_ms: float
 ) -> None:
     if outcome.result is TargetResult.NOT_ACCEPTING:
-        load.not_accepting_until_ms = now_ms + LEAVING_HINT_MS
+        load.not_accepting_until_ms = now_ms + NOT_ACCEPTING_HINT_MS
         return
     hint_ms = min(outcome.retry_after_ms or FULL_HINT_MS, FULL_HINT_MS)
     until_ms = now_ms + hint_ms
--- a/packages/pomelobank-core/src/pomelobank_core/_validation.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_validation.py
@@ -76,7 +76,7 @@
     return tuple(problems)
 
 
-def check_touched(
+def check_affected_objects(
     objects: Objects, touched: Collection[ObjectKey]
 ) -> tuple[Problem, ...]:
     """Checks the objects that a transaction may have made inconsistent.
--- a/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/fleet_support.py
@@ -68,7 +68,7 @@
     call: Call
     entry: "FleetEntry"
     target: FleetTarget
-    tried: set[str]
+    attempted: set[str]
     sent_ms: float
     ticket: AdmissionRequest | None = None
     ended: bool = False
@@ -283,12 +283,12 @@
         now_ms = self.events.now_ms
         entry = visit.entry
         alternative = entry.load_balancer.pick(
-            entry.index.of(UPSTREAM), visit.tried, TRAFFIC_CLASS, now_ms
+            entry.index.of(UPSTREAM), visit.attempted, TRAFFIC_CLASS, now_ms
         )
         attempt = FailedAttempt(
             error=error,
             idempotent=True,
-            attempts=len(visit.tried),
+            attempts=len(visit.attempted),
             transparent_retries=0,
             remaining_ms=visit.call.at_ms + visit.call.timeout_ms - now_ms,
             other_has_capacity=alternative is not None
@@ -302,7 +302,7 @@
             return
         self.events.schedule(
             now_ms + retry.delay_ms,
-            lambda: self._attempt(visit.call, entry, visit.tried),
+            lambda: self._attempt(visit.call, entry, visit.attempted),
         )
 
     def _end(self, call: Call, outcome: str) -> None:
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_lately_gone.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_recently_gone.py
@@ -38,7 +38,7 @@
         table = MemberTable(_entry(number))
         table.merge(_entry(i) for i in range(1, count) if i != number)
         swim = Swim(table, settings, random.Random(number))
-        swim.next_rejoin_ms = REJOIN_PERIOD_MS
+        swim.next_gone_sync_ms = REJOIN_PERIOD_MS
         swim.on_gossip(Gossip(members=(_entry(0, "gone"),)), now_ms=0)
         members.append(swim)
     return members
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_routing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_routing.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies
 
 from pomelobank_core import RouteTable, is_idempotent, pick_upstream
-from pomelobank_core._routing import has_prefix
+from pomelobank_core._routing import path_matches_prefix
 from pomelobank_schema.generated.records import RouteObject, WeightedDestination
 
 
@@ -88,7 +88,9 @@
     prefixes: list[str], path: str
 ) -> None:
     table = RouteTable.of_routes(7, [route(prefix) for prefix in prefixes])
-    matching = [prefix for prefix in prefixes if has_prefix(path, prefix)]
+    matching = [
+        prefix for prefix in prefixes if path_matches_prefix(path, prefix)
+    ]
     found = table.match("shop", path)
     expected = max(matching, key=len, default=None)
     assert (found.path_prefix if found else None) == expected
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_validation.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_validation.py
@@ -1,4 +1,4 @@
-"""Checks of touched objects find the same problems as complete checks."""
+"""Checks of affected objects find the same problems as complete checks."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
     _mutable_copy,
     _touched_keys,
 )
-from pomelobank_core._validation import check_touched
+from pomelobank_core._validation import check_affected_objects
 from pomelobank_schema.generated.records import (
     ChangeRecord,
     OperationRecord,
@@ -96,7 +96,7 @@
         objects = _mutable_copy(state.snapshot.objects)
         for item in operations:
             _apply_operation(objects, item, offset + 1)
-        found = check_touched(objects, _touched_keys(record))
+        found = check_affected_objects(objects, _touched_keys(record))
         assert set(found) == set(check_objects(objects))
         state = replay_change(state, offset, record)
         assert check_objects(state.snapshot.objects) == ()
--- a/packages/pomelobank-node/src/pomelobank_node/_bodies.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_bodies.py
@@ -208,7 +208,7 @@
 
 
 @attrs.define(eq=False)
-class EndedBody:
+class BodyWithEndCallback:
     """Wraps a body and calls back when its reader closes the body.
 
     Attributes:
@@ -252,7 +252,7 @@
     if not isinstance(reply, StreamedReply):
         on_end()
         return reply
-    return attrs.evolve(reply, rest=EndedBody(reply.rest, on_end))
+    return attrs.evolve(reply, rest=BodyWithEndCallback(reply.rest, on_end))
 
 
 async def read_full_request(request: ForwardRequest) -> ForwardRequest:
--- a/packages/pomelobank-node/src/pomelobank_node/_claims.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims.py
@@ -74,7 +74,8 @@
         workers: Workers of the shards whose streams are read, by shard number.
         claim_numbers: Source of claim numbers.
         forwarded: Requests sent to another claiming node, for the metrics.
-        sent_twice: Requests sent to a second claiming node, for the metrics.
+        second_attempts: Requests sent to a second claiming node, for the
+            metrics.
         draining: Whether new requests are rejected because the node stops.
         task: Task that stops idle workers.
     """
@@ -92,7 +93,7 @@
         factory=lambda: itertools.count(1)
     )
     forwarded: int = 0
-    sent_twice: int = 0
+    second_attempts: int = 0
     draining: bool = False
     task: asyncio.Task[None] | None = None
 
@@ -180,7 +181,7 @@
         for node in self._claimants(shard):
             reply = await self._send_to(node, request, deadline_ms)
             if first is not None:
-                self.sent_twice += 1
+                self.second_attempts += 1
                 reply = _combine(first, reply)
             error = reply_error(reply)
             if error is None or error.kind not in _RETRIED_ON_SECOND_NODE:
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
@@ -58,7 +58,7 @@
 # Largest response that is stored in the log. The acknowledgement of an order
 # with its headers fits, a report does not. At 100 keyed requests a second,
 # responses add at most 100 KB/s to the log.
-MAX_LOGGED_ANSWER_BYTES = 1024
+MAX_LOGGED_RESPONSE_BYTES = 1024
 # The owner replies at the request's deadline; the worker waits this much longer
 # for that reply.
 _REPLY_GRACE_MS = 50
@@ -85,9 +85,9 @@
         dispatch: Runs a request on a target.
         batcher: Decides when to append.
         table: Claims that result from the records read.
-        out: Appends to the stream.
+        claim_writer: Appends to the stream.
         reader: Reads the stream.
-        flights: Requests that this node claims or runs, by claim key.
+        running_requests: Requests that this node claims or runs, by claim key.
         pending: Requests whose claim was not read from the stream yet, by claim
             number.
         releasing: This node's claims whose release was not read from the stream
@@ -106,16 +106,16 @@
     dispatch: DispatchFunction
     batcher: ClaimBatcher[BatchItem]
     table: ClaimTable = attrs.field(factory=ClaimTable)
-    out: ClaimWriter = attrs.field(init=False)
+    claim_writer: ClaimWriter = attrs.field(init=False)
     reader: ClaimReader = attrs.field(init=False)
-    flights: dict[bytes, RunningRequest] = attrs.field(factory=dict)
+    running_requests: dict[bytes, RunningRequest] = attrs.field(factory=dict)
     pending: dict[int, RunningRequest] = attrs.field(factory=dict)
     releasing: set[ClaimId] = attrs.field(factory=set)
     last_used_ms: int = 0
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     def __attrs_post_init__(self) -> None:
-        self.out = ClaimWriter(
+        self.claim_writer = ClaimWriter(
             self.stream,
             self.writer,
             self.log,
@@ -137,7 +137,7 @@
     def start(self) -> None:
         """Starts the tasks that read and append to the stream."""
         self._spawn(self.reader.run(), "read")
-        self._spawn(self.out.run(), "append")
+        self._spawn(self.claim_writer.run(), "append")
 
     def _spawn(self, work: Awaitable[None], name: str) -> None:
         async def run() -> None:
@@ -157,12 +157,14 @@
     @property
     def running(self) -> bool:
         """Whether a request is being claimed or run on this node."""
-        return any(not item.reply.done() for item in self.flights.values())
+        return any(
+            not item.reply.done() for item in self.running_requests.values()
+        )
 
     @property
     def idle(self) -> bool:
         """Whether no request is in flight and no record waits for an append."""
-        return not self.flights and self.out.idle
+        return not self.running_requests and self.claim_writer.idle
 
     # Requests.
 
@@ -183,13 +185,13 @@
         self.last_used_ms = self.clock.now_ms()
         await self._catch_up(keyed)
         while True:
-            running = self.flights.get(keyed.key)
+            running = self.running_requests.get(keyed.key)
             if running is None:
                 claim = self.table.find(keyed.key, self.clock.wall_ms())
                 if claim is not None and claim.claim_id not in self.releasing:
                     return await self._respond_from_claim(keyed, claim)
                 running = self._begin_attempt(keyed)
-            elif running.keyed.digest != keyed.digest:
+            elif running.keyed_request.digest != keyed.digest:
                 raise RequestError(ErrorKind.KEY_MISMATCH)
             reply = await self._wait_for_reply(running, keyed)
             if reply is not None:
@@ -291,9 +293,9 @@
             request=keyed.digest,
             remaining_ms=self._left_ms(keyed),
         )
-        self.out.claim(entry, claim_wait_ms)
+        self.claim_writer.claim(entry, claim_wait_ms)
         running = RunningRequest(keyed, attempt)
-        self.flights[keyed.key] = running
+        self.running_requests[keyed.key] = running
         self.pending[number] = running
         self._spawn(
             self._run_attempt(running, claim_wait_ms), f"claim-{number}"
@@ -327,12 +329,12 @@
         # The request did not run. Either the key is free for a resent request,
         # or another claim holds the key and the waiting callers look up that
         # claim.
-        del self.flights[running.keyed.key]
+        del self.running_requests[running.keyed_request.key]
         self._discard_body(running)
         running.finish(_reply_not_run(step))
 
     async def _run_request(self, running: RunningRequest) -> None:
-        keyed = running.keyed
+        keyed = running.keyed_request
         try:
             request = attrs.evolve(
                 keyed.request,
@@ -363,7 +365,7 @@
         )
         running.attempt, step = on_run_ended(running.attempt, run_state)
         if step is ClaimAttemptStep.RELEASE:
-            del self.flights[running.keyed.key]
+            del self.running_requests[running.keyed_request.key]
             self._release(running.attempt)
         if step is ClaimAttemptStep.COMPLETE:
             self._complete(running.attempt, reply)
@@ -372,7 +374,7 @@
     def _release(self, attempt: ClaimAttempt) -> None:
         self.releasing.add(attempt.claim_id)
         record = ClaimRelease(key=attempt.key, number=attempt.claim_id.number)
-        self.out.add(record)
+        self.claim_writer.add(record)
 
     def _complete(self, attempt: ClaimAttempt, reply: ForwardReply) -> None:
         response = None if reply.error else stored_response(reply)
@@ -383,16 +385,20 @@
             attempt.claim_id.number,
             reply.error,
             response,
-            MAX_LOGGED_ANSWER_BYTES,
+            MAX_LOGGED_RESPONSE_BYTES,
         )
-        self.out.add(record)
+        self.claim_writer.add(record)
 
     def _discard_body(self, running: RunningRequest) -> None:
         # An abandoned claim is remembered without its request's body and
         # headers. Bodies can have megabytes each and would accumulate in memory
         # during an outage of the log.
-        request = attrs.evolve(running.keyed.request, body=b"", headers=())
-        running.keyed = attrs.evolve(running.keyed, request=request)
+        request = attrs.evolve(
+            running.keyed_request.request, body=b"", headers=()
+        )
+        running.keyed_request = attrs.evolve(
+            running.keyed_request, request=request
+        )
         abandoned = [
             number
             for number, item in self.pending.items()
@@ -437,9 +443,9 @@
         if batch.writer != self.writer:
             return
         for completion in batch.completions:
-            running = self.flights.get(completion.key)
+            running = self.running_requests.get(completion.key)
             if running and running.attempt.claim_id.number == completion.number:
-                del self.flights[completion.key]
+                del self.running_requests[completion.key]
         for release in batch.releases:
             self.releasing.discard(ClaimId(self.writer, release.number))
 
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_writer.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_writer.py
@@ -37,7 +37,7 @@
         window_ms: Time for which a key stays claimed.
         table: Claims that result from the records read.
         batcher: Decides when to append.
-        on_refused: Called with each claim that was certainly not appended.
+        on_rejected: Called with each claim that was certainly not appended.
         work: Set when an item was added.
     """
 
@@ -48,7 +48,7 @@
     window_ms: int
     table: ClaimTable
     batcher: ClaimBatcher[BatchItem]
-    on_refused: Callable[[ClaimEntry], None]
+    on_rejected: Callable[[ClaimEntry], None]
     work: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     @property
@@ -130,7 +130,7 @@
             refused += [i for i in items if isinstance(i, ClaimEntry)]
         for item in refused:
             if isinstance(item, ClaimEntry):
-                self.on_refused(item)
+                self.on_rejected(item)
 
 
 async def wait_event(event: asyncio.Event, wait_ms: int | None) -> None:
--- a/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
@@ -26,16 +26,17 @@
     Attributes:
         crash_reports: Receives the requests that were in flight at a crash.
         running: Requests at the target, by object id.
-        broken: Requests whose connection broke since the last verdict.
-        verdict: Task that decides whether these were lost in a crash; None if
-            no connection broke.
+        broken_connections: Requests whose connection broke since the last
+            verdict.
+        verdict_task: Task that decides whether these were lost in a crash; None
+            if no connection broke.
         crashes: Number of detected crashes, for the metrics.
     """
 
     crash_reports: CrashReports
     running: dict[int, ForwardRequest] = attrs.field(factory=dict)
-    broken: int = 0
-    verdict: asyncio.Task[None] | None = None
+    broken_connections: int = 0
+    verdict_task: asyncio.Task[None] | None = None
     crashes: int = 0
 
     @contextlib.contextmanager
@@ -57,20 +58,24 @@
         Args:
             address: The target's address.
         """
-        self.broken += 1
-        if self.verdict is None:
+        self.broken_connections += 1
+        if self.verdict_task is None:
             # Every request that was at the target may be the cause of a crash.
             in_flight = list(self.running.values())
-            self.verdict = asyncio.create_task(self._decide(in_flight, address))
-        await asyncio.shield(self.verdict)
+            self.verdict_task = asyncio.create_task(
+                self._decide(in_flight, address)
+            )
+        await asyncio.shield(self.verdict_task)
 
     async def _decide(
         self, in_flight: list[ForwardRequest], address: str
     ) -> None:
         unreachable = not await _accepts(address)
-        all_broke = self.broken >= max(_MIN_BROKEN_CONNECTIONS, len(in_flight))
-        self.verdict = None
-        self.broken = 0
+        all_broke = self.broken_connections >= max(
+            _MIN_BROKEN_CONNECTIONS, len(in_flight)
+        )
+        self.verdict_task = None
+        self.broken_connections = 0
         if unreachable or all_broke:
             self.crashes += 1
             self.crash_reports.on_target_lost(in_flight)
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -39,8 +39,8 @@
     MAX_OFFERS_BEFORE_LATE_BINDING,
     ForwardingState,
     is_shed,
-    load_class,
     observation,
+    rejection_key,
     was_declined,
     was_served,
 )
@@ -71,11 +71,11 @@
 # Smallest body that the node defers: a body for a remote data centre is sent
 # only once its target has a slot. A smaller body takes no more bytes than the
 # frames that ask for it.
-HOLD_BACK_BYTES = 1024
+DEFERRED_BODY_MIN_BYTES = 1024
 # Time on the node's uplink from which a body for the local data centre is
 # deferred too. A body that occupies the uplink for less time costs less than
 # the extra round trip that asking for the body takes.
-HOLD_BACK_MS = 1.0
+DEFERRED_BODY_MIN_UPLINK_MS = 1.0
 _PERCENT = 100
 _MIN_ATTEMPTS_TO_HEDGE = 2
 
@@ -123,7 +123,7 @@
     retry_header: bytes = RETRY_HEADER
     index: CandidateIndex = attrs.field()
     retries: RetryPolicy = attrs.field(factory=RetryPolicy)
-    deferred_body_min_bytes: int = HOLD_BACK_BYTES
+    deferred_body_min_bytes: int = DEFERRED_BODY_MIN_BYTES
     uplink_bytes_per_ms: float = math.inf
     hedging: Hedging | None = None
     rejected: int = 0
@@ -205,7 +205,7 @@
 
     def _target_after_decline(self, state: ForwardingState) -> MemberEntry:
         now_ms = self.clock.now_ms()
-        traffic_class = load_class(state.request)
+        traffic_class = rejection_key(state.request)
         if state.offers_left:
             other = self._choose_target(state)
             if other and self.load_balancer.may_accept(
@@ -220,7 +220,7 @@
     def _reject_if_all_full(self, request: ForwardRequest, now_ms: int) -> None:
         candidates = self.index.of(request.upstream)
         retry_after_ms = self.load_balancer.all_full_retry_after_ms(
-            candidates, load_class(request), now_ms
+            candidates, rejection_key(request), now_ms
         )
         if retry_after_ms:
             self.rejected += 1
@@ -240,7 +240,7 @@
                 candidates, fingerprint, state.attempted_nodes
             )
         return self.load_balancer.pick(
-            candidates, state.attempted_nodes, load_class(request), now_ms
+            candidates, state.attempted_nodes, rejection_key(request), now_ms
         )
 
     async def _bind_late(self, state: ForwardingState) -> ForwardReply:
@@ -314,7 +314,7 @@
             return None
         now_ms = self.clock.now_ms()
         candidates = self.index.of(request.upstream)
-        traffic_class = load_class(request)
+        traffic_class = rejection_key(request)
         other = self.load_balancer.pick(
             candidates, state.attempted_nodes, traffic_class, now_ms
         )
@@ -367,7 +367,7 @@
             max_wait_ms=HEDGE_MAX_WAIT_MS if is_hedge else state.max_wait_ms,
             bind_late=binding is not None,
         )
-        if binding is None and state.attempts > state.redirects:
+        if binding is None and state.attempts > state.transparent_retries:
             request = self._mark_retry(request)
         state.attempts += 1
         state.attempted_nodes.add(target.node)
@@ -449,7 +449,10 @@
     ) -> ForwardRequest:
         min_bytes: float = self.deferred_body_min_bytes
         if target.data_centre == self.members.own.data_centre:
-            min_bytes = max(min_bytes, HOLD_BACK_MS * self.uplink_bytes_per_ms)
+            min_bytes = max(
+                min_bytes,
+                DEFERRED_BODY_MIN_UPLINK_MS * self.uplink_bytes_per_ms,
+            )
         if rest_of(request) or len(request.body) < min_bytes:
             return request
         head = attrs.evolve(
@@ -478,7 +481,7 @@
             error=error.kind if error else None,
             idempotent=request.idempotent,
             attempts=state.attempts,
-            transparent_retries=state.redirects,
+            transparent_retries=state.transparent_retries,
             remaining_ms=state.deadline_ms - now_ms,
             is_retry=state.is_retry,
             other_has_capacity=self._other_has_capacity(state, now_ms),
@@ -486,11 +489,11 @@
         )
         retry = self.retries.decide(request.upstream, attempt, now_ms)
         if retry is not None and retry.transparent:
-            state.redirects += 1
+            state.transparent_retries += 1
         return retry
 
     def _other_has_capacity(self, state: ForwardingState, now_ms: int) -> bool:
-        traffic_class = load_class(state.request)
+        traffic_class = rejection_key(state.request)
         candidates = self.index.of(state.request.upstream)
         other = self.load_balancer.pick(
             candidates, state.attempted_nodes, traffic_class, now_ms
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarding_state.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarding_state.py
@@ -30,7 +30,7 @@
 # Fraction of the latency objective that a request may wait at an offered
 # target before the node offers the request to another target. An offer takes a
 # few milliseconds, so waiting pays only if the wait is about as short.
-OFFER_WAIT_PART = 0.1
+OFFER_WAIT_FRACTION = 0.1
 
 
 @attrs.define(eq=False)
@@ -44,9 +44,10 @@
             node.
         attempted_nodes: Nodes that the request was sent to.
         attempts: Number of attempts so far.
-        redirects: Number of these attempts that did not use the upstream's
-            retry budget.
-        may_have_run: Reply of the last attempt that may have run, if any.
+        transparent_retries: Number of these attempts that did not use the
+            upstream's retry budget.
+        reply_that_may_have_run: Reply of the last attempt that may have run, if
+            any.
         offers_left: Number of targets that may still decline the request.
         declined_wait_ms: Expected wait at each target that declined the
             request.
@@ -58,8 +59,8 @@
     is_retry: bool
     attempted_nodes: set[str] = attrs.field(factory=set)
     attempts: int = 0
-    redirects: int = 0
-    may_have_run: ForwardReply | None = None
+    transparent_retries: int = 0
+    reply_that_may_have_run: ForwardReply | None = None
     offers_left: int = 0
     declined_wait_ms: dict[MemberEntry, int] = attrs.field(factory=dict)
     runs_isolated: bool = False
@@ -71,7 +72,7 @@
             return 0
         request = self.request
         objective_ms = request.aim_ms or request.remaining_ms
-        return max(1, int(OFFER_WAIT_PART * objective_ms))
+        return max(1, int(OFFER_WAIT_FRACTION * objective_ms))
 
     def record_decline(
         self, target: MemberEntry, reply: ForwardReply, is_offer: bool = True
@@ -108,7 +109,7 @@
             error and ERROR_RESPONSES[error.kind].run_state is RunState.NOT_RUN
         )
         if not has_not_run:
-            self.may_have_run = reply
+            self.reply_that_may_have_run = reply
 
     def final_reply(self, reply: ForwardReply) -> ForwardReply:
         """Returns the reply for the caller, given the last attempt's reply.
@@ -119,16 +120,16 @@
         the request again.
         """
         error = reply_error(reply)
-        if error is None or self.may_have_run is None:
+        if error is None or self.reply_that_may_have_run is None:
             return reply
         if ERROR_RESPONSES[error.kind].run_state is not RunState.NOT_RUN:
             return reply
         return attrs.evolve(
-            self.may_have_run, retry_after_ms=reply.retry_after_ms
+            self.reply_that_may_have_run, retry_after_ms=reply.retry_after_ms
         )
 
 
-def load_class(request: ForwardRequest) -> str:
+def rejection_key(request: ForwardRequest) -> str:
     """Returns the key by which rejections by a target are remembered.
 
     The key joins traffic class and priority, because a target that has no
@@ -183,7 +184,7 @@
         result = TargetResult.RESPONDED
     return RequestOutcome(
         result,
-        load_class(request),
+        rejection_key(request),
         took_ms,
         reply.outstanding,
         reply.retry_after_ms,
--- a/packages/pomelobank-node/src/pomelobank_node/_frames.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_frames.py
@@ -60,8 +60,8 @@
         fed_bytes: Bytes that were fed to the unpacker.
         queued_bytes: Bytes of the queued frames.
         closed: Whether the connection has been lost or closed.
-        said_all: Whether the sending side has been closed, so that no further
-            frame may be sent.
+        write_closed: Whether the sending side has been closed, so that no
+            further frame may be sent.
         on_written: Called with the tag of a frame when the frame is written to
             the connection.
     """
@@ -82,7 +82,7 @@
         self.turns: deque[asyncio.Future[None]] = deque()
         self.paused = False
         self.closed = False
-        self.said_all = False
+        self.write_closed = False
         self.read_paused = False
         self.lost = asyncio.Event()
         self.bytes_sent = 0
@@ -144,7 +144,7 @@
             tag: Passed to `on_written` once bytes of the frame may have been
                 sent.
         """
-        if self.closed or self.said_all:
+        if self.closed or self.write_closed:
             return
         data = encode_frame(message)
         if not self.paused and not self.queue:
@@ -292,7 +292,7 @@
                     # the connection, and the last replies would be lost.
                     # Frames of the peer still arrive meanwhile; a reply to
                     # them must not be written after the end of the stream.
-                    self.said_all = True
+                    self.write_closed = True
                     self.transport.write_eof()
                 await self.lost.wait()
         except (OSError, TimeoutError):
--- a/packages/pomelobank-node/src/pomelobank_node/_http_protocol.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_http_protocol.py
@@ -70,8 +70,8 @@
     """One connection to a server of the node.
 
     Attributes:
-        joining: The connection's transport, which sends a response's head
-            together with its body.
+        coalescing_transport: The connection's transport, which sends a
+            response's head together with its body.
         request_task: The task of the request in flight.
         head_bytes: Bytes of the head that is being received.
         in_head: Whether a head is being received.
@@ -81,11 +81,11 @@
         self, transport: asyncio.Transport
     ) -> None:
         """Wraps the transport of a new connection."""
-        self.joining = _CoalescingTransport(transport)
+        self.coalescing_transport = _CoalescingTransport(transport)
         self.request_task: asyncio.Task[None] | None = None
         self.head_bytes = 0
         self.in_head = False
-        super().connection_made(self.joining)  # type: ignore[arg-type]
+        super().connection_made(self.coalescing_transport)  # type: ignore[arg-type]
 
     def data_received(self, data: bytes) -> None:
         """Parses received bytes; rejects a head that is too large."""
@@ -110,7 +110,7 @@
 
     def on_response_complete(self) -> None:
         """Sends a delayed head."""
-        self.joining.flush()
+        self.coalescing_transport.flush()
         super().on_response_complete()
 
     def send_400_response(self, msg: str) -> None:
--- a/packages/pomelobank-node/src/pomelobank_node/_keyed_requests.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_keyed_requests.py
@@ -33,7 +33,7 @@
     """One attempt to claim and run a request, and its pending results.
 
     Attributes:
-        keyed: The request that started the attempt.
+        keyed_request: The request that started the attempt.
         attempt: State of the attempt.
         step: The next step once the claim was read from the stream or the
             attempt was abandoned.
@@ -41,7 +41,7 @@
         waiters: Number of callers that wait for the reply.
     """
 
-    keyed: KeyedRequest
+    keyed_request: KeyedRequest
     attempt: ClaimAttempt
     step: asyncio.Future[ClaimAttemptStep] = attrs.field(
         factory=lambda: asyncio.get_running_loop().create_future()
--- a/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
@@ -158,10 +158,10 @@
         try:
             return await call.reply
         except asyncio.CancelledError:
-            self.give_up(request_id)
+            self.cancel(request_id)
             raise
 
-    def give_up(self, request_id: int) -> None:
+    def cancel(self, request_id: int) -> None:
         """Cancels a request whose caller no longer waits."""
         self._cancel(request_id, ErrorKind.CANCELLED)
 
@@ -202,7 +202,7 @@
         for request_id, kind in self.table.on_stream_lost():
             calls[request_id].fail(kind)
 
-    def settle(self, reply: ForwardReply) -> None:
+    def on_reply(self, reply: ForwardReply) -> None:
         """Handles the reply of a request."""
         request_id = reply.request_id
         decision = self.table.on_reply(request_id, reply.more)
@@ -224,9 +224,9 @@
                 self.stream.send(BodyCredit(request_id=request_id, bytes=size))
 
         window = ReceiveWindow(send_credit, WINDOW_BYTES)
-        return BodyBuffer(window.on_read, lambda: self.give_up(request_id))
+        return BodyBuffer(window.on_read, lambda: self.cancel(request_id))
 
-    def chunk(self, frame: BodyChunk) -> None:
+    def on_chunk(self, frame: BodyChunk) -> None:
         """Handles a part of a response body."""
         request_id = frame.request_id
         decision = self.table.on_chunk(
@@ -246,7 +246,7 @@
         else:
             call.download.end()
 
-    def credit(self, frame: BodyCredit) -> None:
+    def on_credit(self, frame: BodyCredit) -> None:
         """Handles the peer's credit for more of a request's body."""
         if not self._should_deliver(self.table.on_credit(frame.request_id)):
             return
@@ -260,7 +260,7 @@
                 send_rest(self.stream, frame.request_id, rest, call.credit)
             )
 
-    def slot_offered(self, request_id: int) -> None:
+    def on_slot_offer(self, request_id: int) -> None:
         """Accepts a slot that the owner offers, or cancels the request."""
         if not self._should_deliver(self.table.on_slot_offer(request_id)):
             return
@@ -268,9 +268,9 @@
         if on_slot is not None and on_slot():
             self.stream.send(SlotAccept(request_id=request_id))
         else:
-            self.give_up(request_id)
+            self.cancel(request_id)
 
-    def refuse_after(self, last_id: int) -> None:
+    def on_stream_closing(self, last_id: int) -> None:
         """Fails the requests that a stopping peer did not accept."""
         self.closing = True
         for request_id in self.table.on_stream_closing(last_id):
@@ -316,24 +316,24 @@
 
 @handle_reply_frame.register
 def _(frame: ForwardReply, stream: OutgoingStream) -> None:
-    stream.settle(frame)
+    stream.on_reply(frame)
 
 
 @handle_reply_frame.register
 def _(frame: BodyChunk, stream: OutgoingStream) -> None:
-    stream.chunk(frame)
+    stream.on_chunk(frame)
 
 
 @handle_reply_frame.register
 def _(frame: BodyCredit, stream: OutgoingStream) -> None:
-    stream.credit(frame)
+    stream.on_credit(frame)
 
 
 @handle_reply_frame.register
 def _(frame: StreamClosing, stream: OutgoingStream) -> None:
-    stream.refuse_after(frame.last_request_id)
+    stream.on_stream_closing(frame.last_request_id)
 
 
 @handle_reply_frame.register
 def _(frame: SlotOffer, stream: OutgoingStream) -> None:
-    stream.slot_offered(frame.request_id)
+    stream.on_slot_offer(frame.request_id)
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
@@ -31,7 +31,7 @@
 
 # Handles a frame that belongs to no request. The second argument sends a reply
 # on the stream that the frame arrived on.
-FrameTaker = Callable[[WireMessage, Callable[[WireMessage], None]], None]
+FrameHandler = Callable[[WireMessage, Callable[[WireMessage], None]], None]
 
 
 @attrs.define(eq=False)
@@ -42,7 +42,7 @@
         address: The peer's address.
         hello: Frame that introduces this node to the peer.
         current: The open stream, None while the link has no open stream.
-        ended_late_frames: Late and unknown frames of closed streams.
+        closed_late_frames: Late and unknown frames of closed streams.
         tasks: Tasks of the streams that are not closed yet.
         loop: The event loop.
         links: All links of the node, with the state that they share.
@@ -54,7 +54,7 @@
     hello: Hello
     links: "PeerLinks"
     current: OutgoingStream | None = None
-    ended_late_frames: int = 0
+    closed_late_frames: int = 0
     used_s: float = 0.0
     failed_s: float = -math.inf
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
@@ -67,9 +67,11 @@
     def late_replies(self) -> int:
         """Number of frames for ended requests or unknown request ids."""
         if self.current is None:
-            return self.ended_late_frames
+            return self.closed_late_frames
         table = self.current.table
-        return self.ended_late_frames + table.late_frames + table.unknown_frames
+        return (
+            self.closed_late_frames + table.late_frames + table.unknown_frames
+        )
 
     async def connect(self) -> OutgoingStream:
         """Returns the open stream; opens a stream if the link has none.
@@ -122,7 +124,7 @@
             await outgoing.run()
         finally:
             table = outgoing.table
-            self.ended_late_frames += table.late_frames + table.unknown_frames
+            self.closed_late_frames += table.late_frames + table.unknown_frames
             self.links.closed_bytes += outgoing.stream.bytes_sent
             if self.current is outgoing:
                 self.current = None
@@ -188,7 +190,7 @@
             return False
         return self.used_s < since_s
 
-    def is_forgotten(self, since_s: float) -> bool:
+    def is_unused(self, since_s: float) -> bool:
         """Tells whether the link has had no stream and no use since a time."""
         unused = self.current is None and not self.tasks
         return unused and self.used_s < since_s and not self.connecting.locked()
@@ -219,7 +221,7 @@
 
     hello: Hello
     connect_limit: int = DEFAULT_CONNECT_LIMIT
-    on_frame: FrameTaker | None = None
+    on_frame: FrameHandler | None = None
     links: dict[str, PeerLink] = attrs.field(factory=dict)
     closed_bytes: int = 0
     handshakes: asyncio.Semaphore = attrs.field(init=False)
@@ -260,7 +262,7 @@
         for address, link in list(self.links.items()):
             if link.is_idle(since_s):
                 link.disconnect()
-            elif link.is_forgotten(since_s):
+            elif link.is_unused(since_s):
                 # A restarted peer has a new address. Links to old addresses
                 # would accumulate if the node kept them.
                 del self.links[address]
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
@@ -86,11 +86,11 @@
 
     Attributes:
         buffer: Received parts that have not been read yet.
-        grants: Receive window that limits the bytes that the peer may send.
+        window: Receive window that limits the bytes that the peer may send.
     """
 
     buffer: BodyBuffer
-    grants: ReceiveWindow
+    window: ReceiveWindow
 
 
 @attrs.define(eq=False)
@@ -250,13 +250,13 @@
     def _upload_closed(self, request_id: int) -> None:
         self.uploads.pop(request_id, None)
 
-    def chunk(self, frame: BodyChunk) -> None:
+    def on_chunk(self, frame: BodyChunk) -> None:
         """Handles a part of a request's body."""
         upload = self.uploads.get(frame.request_id)
         if upload is None:
             self.late_frames += 1
             return
-        if not upload.grants.consume(len(frame.data)):
+        if not upload.window.consume(len(frame.data)):
             raise SchemaError(
                 SchemaErrorKind.OUT_OF_RANGE,
                 "",
@@ -268,7 +268,7 @@
         elif not frame.more:
             upload.buffer.end()
 
-    def credit(self, frame: BodyCredit) -> None:
+    def on_credit(self, frame: BodyCredit) -> None:
         """Handles the peer's credit for more of a response body."""
         credit = self.credits.get(frame.request_id)
         if credit is None:
@@ -284,7 +284,7 @@
             return
         task.cancel()
 
-    def accept(self, request_id: int) -> None:
+    def on_slot_accept(self, request_id: int) -> None:
         """Runs a late-bound request in the slot that the peer has accepted."""
         acceptance = self.slot_offers.get(request_id)
         if acceptance is None or acceptance.done():
@@ -315,12 +315,12 @@
 
 @handle_frame.register
 def _(frame: BodyChunk, connection: PeerConnection) -> None:
-    connection.chunk(frame)
+    connection.on_chunk(frame)
 
 
 @handle_frame.register
 def _(frame: BodyCredit, connection: PeerConnection) -> None:
-    connection.credit(frame)
+    connection.on_credit(frame)
 
 
 @handle_frame.register
@@ -330,7 +330,7 @@
 
 @handle_frame.register
 def _(frame: SlotAccept, connection: PeerConnection) -> None:
-    connection.accept(frame.request_id)
+    connection.on_slot_accept(frame.request_id)
 
 
 @handle_frame.register
--- a/packages/pomelobank-node/src/pomelobank_node/_target_call.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_call.py
@@ -32,7 +32,7 @@
 # the node does not know whether the request ran. At ten requests a second, half
 # of the connections have been idle for less time; opening a new connection
 # takes a millisecond.
-RUNS_ONCE_IDLE_S = 0.3
+RUN_ONCE_MAX_IDLE_S = 0.3
 _HEAD = "HEAD"
 _MISDIRECTED = 421
 _SUCCESSES = range(200, 300)
@@ -79,7 +79,7 @@
         rest,
         chunked=has_rest and content_length(headers) is None,
         expected_id=expected_id,
-        max_idle_s=(MAX_IDLE_S if request.idempotent else RUNS_ONCE_IDLE_S),
+        max_idle_s=(MAX_IDLE_S if request.idempotent else RUN_ONCE_MAX_IDLE_S),
     )
     _raise_if_unusable(response, conventions)
     return _reply(request, response, outstanding)
--- a/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
@@ -44,7 +44,8 @@
         lease: Decides how announcements change the target's state.
         reject_after_ms: Time from the start of a drain after which new requests
             are rejected.
-        refusing: Task that starts to reject new requests; None outside a drain.
+        rejection_task: Task that starts to reject new requests; None outside a
+            drain.
         tasks: Running background tasks.
     """
 
@@ -54,7 +55,7 @@
     departures: DepartureLog
     lease: TargetLease
     reject_after_ms: int = REJECT_AFTER_MS
-    refusing: asyncio.Task[None] | None = None
+    rejection_task: asyncio.Task[None] | None = None
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     async def start(self) -> None:
@@ -77,10 +78,10 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _cancel_rejection(self) -> None:
-        if self.refusing is not None:
-            self.refusing.cancel()
-            await asyncio.gather(self.refusing, return_exceptions=True)
-            self.refusing = None
+        if self.rejection_task is not None:
+            self.rejection_task.cancel()
+            await asyncio.gather(self.rejection_task, return_exceptions=True)
+            self.rejection_task = None
 
     async def handle_announcement(
         self, announcement: TargetAnnouncement
@@ -223,7 +224,7 @@
     async def _broadcast_draining(self) -> None:
         _logger.info("target.draining", extra=self._target_fields())
         self.membership.table.update_own(state=MemberState.DRAINING.value)
-        self.refusing = asyncio.create_task(self._reject_after_delay())
+        self.rejection_task = asyncio.create_task(self._reject_after_delay())
         await self.membership.broadcast_own_entry()
 
     def _target_fields(self) -> dict[str, object]:
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
@@ -94,10 +94,12 @@
         uploading: Whether a part of the request's body is still unsent.
         head_only: Whether the current request is a HEAD request.
         expected_id: Id that the response must have if it has an id.
-        foreign: Whether the response being read belongs to another request.
-        met_foreign: Whether a response to another request was read since the
-            current request was sent.
-        until_closed: Whether the end of the connection ends the response body.
+        is_other_response: Whether the response being read belongs to another
+            request.
+        saw_other_response: Whether a response to another request was read since
+            the current request was sent.
+        close_delimited: Whether the end of the connection ends the response
+            body.
         started: Whether a response to the current request has begun.
     """
 
@@ -114,7 +116,7 @@
         self.uploading = False
         self.head_only = False
         self.expected_id: ExpectedId | None = None
-        self.met_foreign = False
+        self.saw_other_response = False
         self.write_ready = asyncio.Event()
         self.write_ready.set()
         self.poll = select.poll()
@@ -126,8 +128,8 @@
         self.chunks: list[bytes] = []
         self.size = 0
         self.started = False
-        self.foreign = False
-        self.until_closed = False
+        self.is_other_response = False
+        self.close_delimited = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Stores the transport and prepares the socket."""
@@ -169,7 +171,7 @@
         """
         assert self.transport is not None
         self.expected_id = expected_id
-        self.met_foreign = False
+        self.saw_other_response = False
         self.future = self.loop.create_future()
         if deadline_s is not None:
             self.timer = self.loop.call_at(
@@ -230,7 +232,7 @@
         asyncio does not call this method for a connection that was reset, so a
         truncated response is not treated as complete.
         """
-        if self.busy and self.until_closed and not self.foreign:
+        if self.busy and self.close_delimited and not self.is_other_response:
             self._complete()
 
     def connection_lost(self, _: Exception | None) -> None:
@@ -269,10 +271,10 @@
         if not self._is_final():
             return
         length = content_length(self.headers)
-        self.foreign = self._is_foreign()
-        if self.foreign:
+        self.is_other_response = self._is_foreign()
+        if self.is_other_response:
             return
-        self.until_closed = length is None and self._is_close_delimited()
+        self.close_delimited = length is None and self._is_close_delimited()
         if self.head_only:
             self._complete()
         elif length is not None and length > self.pool.max_body_bytes:
@@ -298,7 +300,7 @@
 
     def on_body(self, data: bytes) -> None:
         """Collects the body, or streams the body once it is large."""
-        if not self.busy or self.foreign:
+        if not self.busy or self.is_other_response:
             return
         self.size += len(data)
         if self.size > self.pool.max_body_bytes:
@@ -341,11 +343,13 @@
 
     def on_message_complete(self) -> None:
         """Completes the response."""
-        if self.foreign or not self._is_final():
-            self.met_foreign = self.met_foreign or self.foreign
+        if self.is_other_response or not self._is_final():
+            self.saw_other_response = (
+                self.saw_other_response or self.is_other_response
+            )
             self.headers = []
             self.started = False
-            self.foreign = False
+            self.is_other_response = False
             return
         self._complete()
 
@@ -356,7 +360,9 @@
         # A target that sent one response twice may also send the next
         # response twice, so the connection is not reused.
         keep_alive = (
-            keep_alive and not self.until_closed and not self.met_foreign
+            keep_alive
+            and not self.close_delimited
+            and not self.saw_other_response
         )
         self._cancel_timer_and_upload()
         if self.rest is not None:
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
@@ -86,10 +86,11 @@
         url: Request target of the head that is being received.
         headers: Headers of the head that is being received.
         head_bytes: Bytes of the incomplete head, not counting its first read.
-        seen_s: Loop time of the last received byte or written response.
+        last_activity_s: Loop time of the last received byte or written
+            response.
         head_since_s: Loop time at which an incomplete head began; None if no
             head is incomplete.
-        ended: Whether further received bytes are ignored.
+        ignores_input: Whether further received bytes are ignored.
         closing: Whether a response requires the connection to close. New
             requests are then ignored; pending requests still get a response.
         paused: Whether reading from the transport is paused.
@@ -108,9 +109,9 @@
         self.url = b""
         self.headers: list[tuple[bytes, bytes]] = []
         self.head_bytes = 0
-        self.seen_s = 0.0
+        self.last_activity_s = 0.0
         self.head_since_s: float | None = None
-        self.ended = False
+        self.ignores_input = False
         self.closing = False
         self.paused = False
 
@@ -121,7 +122,7 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.loop = asyncio.get_running_loop()
-        self.seen_s = self.loop.time()
+        self.last_activity_s = self.loop.time()
         if not self.server.accept(self):
             transport.abort()
 
@@ -132,7 +133,7 @@
         that no caller reads, most of all under overload, when callers time out
         and retry.
         """
-        self.ended = True
+        self.ignores_input = True
         self.server.connections.discard(self)
         self.writable.set()
         if self.streaming is not None:
@@ -153,16 +154,16 @@
 
     def data_received(self, data: bytes) -> None:
         """Parses received bytes."""
-        if self.ended:
+        if self.ignores_input:
             return
-        self.seen_s = self.loop.time()
+        self.last_activity_s = self.loop.time()
         in_head = self.head_since_s is not None
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             # The caller switches to another protocol, which this server does
             # not support. Further bytes must not be parsed as a request.
-            self.ended = True
+            self.ignores_input = True
             self._close_after_last()
         except httptools.HttpParserError:
             self._reject(ErrorKind.BAD_REQUEST)
@@ -177,7 +178,7 @@
         self.url = b""
         self.headers = []
         self.head_bytes = 0
-        self.head_since_s = self.seen_s
+        self.head_since_s = self.last_activity_s
 
     def on_url(self, url: bytes) -> None:
         """Appends a part of the request target."""
@@ -190,7 +191,7 @@
     def on_headers_complete(self) -> None:
         """Creates the exchange, or rejects a head that exceeds a limit."""
         self.head_since_s = None
-        if self.ended or self.closing:
+        if self.ignores_input or self.closing:
             return
         exchange = Exchange(
             self.parser.get_method().decode("latin-1"),
@@ -232,7 +233,7 @@
         else:
             self._start(exchange)
         if not exchange.keep_alive:
-            self.ended = True
+            self.ignores_input = True
 
     # Receiving requests.
 
@@ -269,7 +270,7 @@
         if exchange.upload is not None:
             exchange.upload.fail(ErrorKind.BODY_INCOMPLETE)
             exchange.keep_alive = False
-            self.ended = True
+            self.ignores_input = True
             return
         self._end_with_error(exchange, kind)
 
@@ -278,7 +279,7 @@
         exchange.response = error_response(
             error, self.server.http_conventions, closes=True
         )
-        self.ended = True
+        self.ignores_input = True
         self.head_since_s = None
         self._flush()
 
@@ -290,7 +291,7 @@
         # therefore passed to the handler through the upload.
         exchange.upload.fail(ErrorKind.BODY_INCOMPLETE)
         exchange.keep_alive = False
-        self.ended = True
+        self.ignores_input = True
 
     def _start_upload(self, exchange: Exchange) -> None:
         exchange.upload = BodyBuffer(
@@ -336,7 +337,7 @@
             # The request's body is not fully received. Its remaining bytes must
             # not be parsed as the next request.
             exchange.keep_alive = False
-            self.ended = True
+            self.ignores_input = True
         self._flush()
 
     def _flush(self) -> None:
@@ -369,14 +370,14 @@
 
     def _finish_exchange(self, closes: bool) -> None:
         self.exchanges.popleft()
-        self.seen_s = self.loop.time()
+        self.last_activity_s = self.loop.time()
         if closes:
             self._close()
         else:
             self._adjust_reading()
 
     def _close(self) -> None:
-        self.ended = True
+        self.ignores_input = True
         for exchange in self.exchanges:
             exchange.cancel()
         self.exchanges.clear()
@@ -437,8 +438,8 @@
             if now_s - self.head_since_s > limits.head_timeout_ms / _MS_PER_S:
                 self._reject(ErrorKind.HEAD_TIMEOUT)
             return
-        idle = now_s - self.seen_s > limits.idle_timeout_ms / _MS_PER_S
-        if idle and self.reading is not None and not self.ended:
+        idle = now_s - self.last_activity_s > limits.idle_timeout_ms / _MS_PER_S
+        if idle and self.reading is not None and not self.ignores_input:
             self._reject(ErrorKind.HEAD_TIMEOUT)
         elif idle:
             self.close_if_idle()
@@ -447,7 +448,7 @@
         """Closes the connection unless a request is in flight or arriving."""
         idle = not self.exchanges and self.head_since_s is None
         if idle and self.transport is not None:
-            self.ended = True
+            self.ignores_input = True
             self.transport.close()
 
     def fail_pending(self) -> None:
@@ -465,7 +466,7 @@
                     error, self.server.http_conventions
                 )
                 exchange.keep_alive = exchange is not self.exchanges[-1]
-        self.ended = True
+        self.ignores_input = True
         self._flush()
 
     def abort(self) -> None:
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
@@ -27,8 +27,8 @@
 
 _logger = logging.getLogger(__name__)
 
-ANSWERED = "answered"
-BROKEN_OFF = "broken_off"
+OUTCOME_ANSWERED = "answered"
+OUTCOME_BROKEN_OFF = "broken_off"
 # A host name or an IPv4 address; the port of the host header is removed before
 # the match.
 _SERVICE_NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._-]{0,252})")
@@ -61,10 +61,10 @@
         try:
             data = await self.source.read()
         except RequestError:
-            self.outcomes[BROKEN_OFF] += 1
+            self.outcomes[OUTCOME_BROKEN_OFF] += 1
             raise
         if not data:
-            self.outcomes[ANSWERED] += 1
+            self.outcomes[OUTCOME_ANSWERED] += 1
         return data
 
     def close(self) -> None:
@@ -211,7 +211,7 @@
         self, response: HttpResponse, trace: RequestTrace, start_ms: int
     ) -> None:
         if response.rest is None:
-            self.outcomes[ANSWERED] += 1
+            self.outcomes[OUTCOME_ANSWERED] += 1
         self.latency.add(self.clock.now_ms() - start_ms)
         if self.log_limiter.allow_success(self.clock.now_ms()):
             self._log("request.answered", trace, start_ms, response.status)
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_server.py
@@ -46,7 +46,7 @@
         connections: Open connections.
         rejected_connections: Connections rejected above the limit, for the
             metrics.
-        sweeper: Task that checks time-outs periodically.
+        timeout_task: Task that checks time-outs periodically.
     """
 
     listen: str
@@ -61,7 +61,7 @@
     connections: set[HttpConnection] = attrs.field(factory=set)
     rejected_connections: int = 0
     server: asyncio.Server | None = None
-    sweeper: asyncio.Task[None] | None = None
+    timeout_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Starts listening."""
@@ -83,7 +83,7 @@
         bound = self.server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
         if self.auto_check_timeouts:
-            self.sweeper = asyncio.create_task(
+            self.timeout_task = asyncio.create_task(
                 self._check_timeouts_periodically()
             )
 
@@ -125,9 +125,9 @@
         if self.server is not None:
             self.server.close()
         self.drain()
-        if self.sweeper is not None:
-            self.sweeper.cancel()
-            await asyncio.gather(self.sweeper, return_exceptions=True)
+        if self.timeout_task is not None:
+            self.timeout_task.cancel()
+            await asyncio.gather(self.timeout_task, return_exceptions=True)
         await self._wait_until_closed(self.stop_timeout_ms)
         for connection in list(self.connections):
             connection.fail_pending()
