--- a/packages/pomelobank-node/src/pomelobank_node/_admin.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_admin.py
@@ -72,11 +72,11 @@
         return self._state()
 
     async def drain(self, _: Request) -> Response:
-        """Takes the target out of the mesh.
+        """Drains the target, so that other nodes send it no new requests.
 
         The target is drained even if the response is 503. That status means
-        that the drain could not be recorded in the log, so a restart of the
-        node may undo it; the operator should send the request again.
+        that the drain may be missing in the log. A restart of the node may then
+        undo the drain, so the operator should send the request again.
         """
         try:
             await self.target.drain()
--- a/packages/pomelobank-node/src/pomelobank_node/_bodies.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_bodies.py
@@ -200,7 +200,7 @@
         return data
 
     def close(self) -> None:
-        """Gives the rest up; later calls do nothing."""
+        """Discards the unread parts; later calls do nothing."""
         if not self.closed:
             self.closed = True
             self.parts.clear()
@@ -229,7 +229,7 @@
         return await self.source.read()
 
     def close(self) -> None:
-        """Gives the rest up; later calls do nothing."""
+        """Discards the unread parts; later calls do nothing."""
         if self.closed:
             return
         self.closed = True
--- a/packages/pomelobank-node/src/pomelobank_node/_claims.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims.py
@@ -46,8 +46,8 @@
 # The claiming node replies at the request's deadline. The entry node waits this
 # much longer, since that reply is more precise than the entry's own time-out.
 _REPLY_GRACE_MS = 100
-# Nodes that the entry node tries for one request. The second node replaces a
-# first node that has just failed.
+# Maximum number of claiming nodes that the entry node tries for one request.
+# The second node replaces a first node that has just failed or is stopping.
 _MAX_CLAIMANTS = 2
 _RETRIED_ON_SECOND_NODE = frozenset(
     {
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_reader.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_reader.py
@@ -16,7 +16,8 @@
 
 _MS_PER_S = 1000
 _KINDS: dict[int, type[WireMessage]] = {ClaimBatch.KIND: ClaimBatch}
-# Records of one read; 200 full batches make a response of about 2 MB.
+# Maximum number of records in one read. 200 full batches make a response of
+# about 2 MB.
 _PAGE_RECORDS = 200
 _FIRST_RETRY_MS = 50
 _MAX_RETRY_MS = 2000
--- a/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_claims_shard.py
@@ -64,9 +64,10 @@
 _REPLY_GRACE_MS = 50
 # Maximum wait for the outcome of a claim that another node holds.
 _MAX_HOLDER_WAIT_MS = 1000
-# Abandoned claims that are remembered because their append may still appear in
-# the stream. Beyond this number the oldest claims are dropped; if such a claim
-# appears, its key stays claimed until the end of the window.
+# Maximum number of abandoned claims that are remembered, because their append
+# may still appear in the stream. Beyond this number the oldest claims are
+# dropped; if such a claim appears, its key stays claimed until the end of the
+# window.
 _MAX_ABANDONED_CLAIMS = 1000
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
@@ -27,8 +27,8 @@
         crash_reports: Receives the requests that were in flight at a crash.
         running: Requests at the target, by object id.
         broken: Requests whose connection broke since the last verdict.
-        verdict: Task that decides whether these were lost in a crash; None if
-            no connection broke.
+        verdict: Task that decides whether the broken connections were lost in a
+            crash of the target; None if no connection broke.
         crashes: Number of detected crashes, for the metrics.
     """
 
--- a/packages/pomelobank-node/src/pomelobank_node/_crash_reports.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_reports.py
@@ -29,8 +29,8 @@
 # nodes, and no node opens a thousand streams because of one crash.
 _MAX_DIRECT_PEERS = 32
 _FAN_OUT = 6
-# Report ids that are remembered to recognise duplicates; an hour with one crash
-# per second fits.
+# Maximum number of report ids that are remembered to recognise duplicates. The
+# ids of an hour with one crash per second fit.
 _MAX_SEEN_REPORTS = 4096
 _ID_BYTES = 8
 
@@ -74,8 +74,9 @@
         Raises:
             RequestError: QUARANTINED if the request must not run.
         """
-        # Without entries the fingerprint is skipped, since every request would
-        # pay for a digest of its body.
+        # While the table has no entries, no request has evidence against it.
+        # The check then skips the fingerprint, because computing it takes a
+        # digest of the request's body.
         if not self.table.entries:
             return QuarantineState.CLEAR
         digest = request_fingerprint(request)
--- a/packages/pomelobank-node/src/pomelobank_node/_departure_log.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_departure_log.py
@@ -23,12 +23,13 @@
 
 _logger = logging.getLogger(__name__)
 _MS_PER_S = 1000
-# Limit of one append. A target gives up a call to announce its departure after
-# 1 s and repeats the call.
+# Time limit of one append. A target that announces its departure waits 1 s for
+# the response and then repeats the call, so the node must respond with an error
+# before that.
 _APPEND_TIMEOUT_S = 0.8
-# Limit of the wait for the log at the start. The log normally answers within a
-# few ms, on a slow network link within some tenths of a second. A log that does
-# not answer keeps the target out of the mesh for no longer than this.
+# Time limit of the wait for the log at the start. The log normally answers
+# within a few ms, and on a slow network link within some tenths of a second. If
+# the log does not answer, the target joins the mesh after this time.
 MAX_READ_WAIT_S = 1.0
 _PAGE_RECORDS = 1000
 _FIRST_RETRY_MS = 100
@@ -100,7 +101,7 @@
         # While the log is unreachable no node knows whether the target has
         # left. Most targets have not, and a mesh that starts during an outage
         # of the log would otherwise serve no callers until the log is back.
-        # A departure that is read later still takes the target out.
+        # A departure that is read later still drains the target.
         await asyncio.sleep(MAX_READ_WAIT_S)
         if not self.ready.is_set():
             _logger.warning("departures.not_read")
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarder.py
@@ -63,18 +63,19 @@
 from pomelobank_schema.generated.peer import Header, MemberEntry
 from pomelobank_schema.generated.settings import RequestSettings
 
-# Marks a retried request. A target that copies this header to its own calls
-# keeps the nodes behind it from retrying them, so retries do not multiply along
-# a chain of calls.
+# Marks a retried request. If a target copies this header to its own calls, the
+# nodes that forward those calls do not retry them, except after attempts that
+# cost no work. Otherwise, retries would multiply along a chain of calls.
 RETRY_HEADER = HttpConventions().retry
 _MS_PER_S = 1000
-# Smallest body that the node defers: a body for a remote data centre is sent
-# only once its target has a slot. A smaller body takes no more bytes than the
-# frames that ask for it.
+# Minimum size of a deferred body, which is sent only once its target has a
+# slot. For a target in a remote data centre, no other condition applies.
+# Deferring a smaller body would save nothing, because the frames that ask for
+# the body take as many bytes.
 HOLD_BACK_BYTES = 1024
-# Time on the node's uplink from which a body for the local data centre is
-# deferred too. A body that occupies the uplink for less time costs less than
-# the extra round trip that asking for the body takes.
+# Minimum transmission time, on the node's uplink, of a body that is deferred
+# for a target in the local data centre. Asking for a body takes an extra round
+# trip, which costs more than a shorter use of the uplink.
 HOLD_BACK_MS = 1.0
 _PERCENT = 100
 _MIN_ATTEMPTS_TO_HEDGE = 2
@@ -212,8 +213,9 @@
                 other, traffic_class, now_ms
             ):
                 return other
-        # No other target would accept an offer, so the target that declined
-        # with the shortest expected wait queues the request.
+        # The offers are used up, or no other target may accept one. Of the
+        # targets that declined, the one with the shortest expected wait queues
+        # the request.
         state.offers_left = 0
         return state.least_busy()
 
@@ -372,8 +374,10 @@
         state.attempts += 1
         state.attempted_nodes.add(target.node)
         self.load_balancer.on_sent(target, started_ms)
-        # If another target answers first, this attempt is cancelled; a
-        # cancelled attempt says nothing about its target.
+        # This attempt may be cancelled, for example because another target
+        # answered first. A cancellation counts against the target only if the
+        # request took longer than the hedge delay there and was not just
+        # waiting for a slot.
         outcome = RequestOutcome(TargetResult.NEUTRAL)
         try:
             reply = await self._send(target, request, binding)
--- a/packages/pomelobank-node/src/pomelobank_node/_forwarding_state.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_forwarding_state.py
@@ -14,18 +14,19 @@
 from pomelobank_node._requests import ForwardReply, ForwardRequest, reply_error
 from pomelobank_schema.generated.peer import MemberEntry
 
-# Number of targets that may decline a request before the least busy of them
-# has to queue the request. With six of ten slots busy, one target in three has
-# no free slot, and two targets in a row have none for one request in nine; a
-# third offer would shorten few waits.
+# Number of targets that may decline a request before the least busy of them has
+# to queue the request. At a load at which six of ten slots are busy and one
+# target in three has no free slot, two targets in a row have none for one
+# request in nine. A third offer would therefore shorten few waits.
 MAX_OFFERS = 2
 # The same limit for a request that can bind late. Such a request then waits at
 # several targets at once, so further offers to one target after the other
 # would not find a free slot sooner.
 MAX_OFFERS_BEFORE_LATE_BINDING = 1
-# Longest expected wait with which a target accepts a hedge. A hedge may use a
-# slot that is free now, but a hedge that queues under load would take a slot
-# from a first attempt.
+# Longest expected wait with which a target accepts a hedge; 1 ms is the
+# smallest limit, because 0 means any wait. A hedge may use a slot that is free
+# now, but a hedge that queues under load would take a slot from a first
+# attempt.
 HEDGE_MAX_WAIT_MS = 1
 # Fraction of the latency objective that a request may wait at an offered
 # target before the node offers the request to another target. An offer takes a
--- a/packages/pomelobank-node/src/pomelobank_node/_frames.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_frames.py
@@ -20,17 +20,20 @@
 
 _logger = logging.getLogger(__name__)
 
-# Largest frame. A frame carries at most the headers and one part of a body, or
-# a batch of records. A sender that exceeds the limit is faulty, and this node
-# closes the stream before the frame exhausts its memory.
+# Maximum size of a frame. A frame carries at most the headers and one part of a
+# body, or a batch of records. A sender that exceeds the limit is faulty, and
+# the receiving node closes the stream before the frame exhausts the node's
+# memory.
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 # Queued bytes at which a stream is closed because its peer does not read. One
 # frozen peer then costs a node a few megabytes instead of all memory.
 MAX_QUEUED_BYTES = 8 * 1024 * 1024
-# Number of received frames that wait to be handled; reading pauses above it.
+# Number of received frames that may wait to be handled. Above this number, the
+# node stops reading from the stream until all of these frames are handled.
 _MAX_READ_AHEAD = 256
-# Unsent bytes that the kernel may hold. Further frames stay in the queue of
-# this process, where a short frame can still overtake the parts of an archive.
+# Maximum number of unsent bytes of a stream that the kernel may hold. Further
+# frames stay in the queue of this process, where a short frame can still
+# overtake the parts of an archive.
 _KERNEL_UNSENT_BYTES = 64 * 1024
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/_http_protocol.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_http_protocol.py
@@ -15,8 +15,8 @@
 from pomelobank_node.callers import error_response
 from pomelobank_node.callers._messages import encode_response
 
-# Common servers reject heads above 8 to 64 KiB; larger heads are errors of the
-# caller or attacks.
+# Maximum size of a head. Common servers reject heads above 8 to 64 KiB; larger
+# heads are errors of the caller or attacks.
 MAX_HEAD_BYTES = 64 * 1024
 MAX_HEADERS = 128
 _STATUS_LINE = b"HTTP/1.1 "
@@ -117,8 +117,9 @@
         """Responds to malformed HTTP with the node's own error format."""
         cycle = self.cycle
         if cycle is not None and not cycle.response_complete:
-            # The caller would take the error for the response to the request
-            # in flight.
+            # The connection is closed without an error response, because the
+            # caller would take the error for the response to the request in
+            # flight.
             self.transport.close()
             return
         if not self.transport.is_closing():
--- a/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_late_binding.py
@@ -9,9 +9,11 @@
 from pomelobank_node._forwarding_state import ForwardingState, was_served
 from pomelobank_node._requests import ForwardReply
 
-# Number of slots, over all targets, that a late-bound request waits for. Each
-# further target shortens the wait by less and costs the same number of frames.
-# A target that has half as many slots frees a slot soon enough on its own.
+# Maximum number of slots, over all targets, that a late-bound request waits
+# for. Each further target shortens the wait by less than the one before and
+# costs the same number of frames. A target that has more than half of this
+# number of slots frees a slot soon enough on its own, so requests to such
+# targets do not bind late.
 LATE_BINDING_SLOTS = 15
 _MIN_LATE_BINDING_TARGETS = 2
 
--- a/packages/pomelobank-node/src/pomelobank_node/_log_output.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log_output.py
@@ -9,8 +9,8 @@
 # A pipe that polls as writable accepts this many bytes at once; a longer
 # write could block until the reader drains the pipe.
 _MAX_NON_BLOCKING_WRITE_BYTES = 4096
-# Chunks buffered while the reader is slow: a few seconds of log lines during an
-# incident, or half a MB.
+# Maximum number of chunks that are buffered while the reader is slow. The
+# buffer holds a few seconds of log lines during an incident, or half a MB.
 MAX_BUFFERED_CHUNKS = 2000
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/_log_rate_limiter.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log_rate_limiter.py
@@ -2,9 +2,10 @@
 
 import attrs
 
-# At 79 us per line (20,000 lines in a loop on a busy machine), the lines that
-# the limiters of the entry and of the owner in one process allow cost at most
-# 1.7% of a core together, regardless of the load.
+# Maximum numbers of lines about successes and about failures per second. At 79
+# us per line (20,000 lines in a loop on a busy machine), the lines that the
+# limiters of the entry and of the owner in one process allow cost at most 1.7%
+# of a core together, regardless of the load.
 MAX_SUCCESS_LINES_PER_S = 10
 MAX_FAILURE_LINES_PER_S = 100
 _MS_PER_S = 1000
--- a/packages/pomelobank-node/src/pomelobank_node/_membership.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_membership.py
@@ -33,10 +33,10 @@
 # Time limit for broadcasting the own entry when the node drains or leaves.
 # Members not reached within this time learn of the change by gossip.
 _BROADCAST_TIMEOUT_S = 1.5
-# Limit of the membership frames that wait for a stream. Normally only a few
-# frames wait. When a data centre is partitioned off, each stream takes a second
-# to fail, and a node that kept every frame would run out of memory. Gossip
-# repeats its contents, so further frames can be dropped.
+# Maximum number of membership frames that wait for a stream. Normally only a
+# few frames wait. When a data centre is partitioned off, each stream takes a
+# second to fail, and a node that kept every frame would run out of memory.
+# Gossip repeats its contents, so further frames can be dropped.
 _MAX_PENDING_FRAMES = 2048
 # States whose changes operators should see. Other changes are logged at debug
 # level, since a starting node learns of all members at once.
@@ -217,9 +217,9 @@
             )
             if entry.state == MemberState.GONE.value:
                 # Bytes queued for a partitioned peer wait for the kernel's TCP
-                # retries, which are minutes apart by then. Callers would wait
-                # for them too, and the first frames after the partition would
-                # arrive late.
+                # retries, which are minutes apart by then. Callers' requests on
+                # the same stream would wait for these retries too, and the
+                # first frames after the partition would arrive late.
                 self.links.disconnect(entry.peer_address)
         self._update_joined()
 
--- a/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_outgoing_stream.py
@@ -174,8 +174,8 @@
         if call is None or state is None:
             return
         if state is ExchangeState.QUEUED:
-            # The caller is told that the request did not run, so its frame must
-            # not be sent afterwards.
+            # The caller is told that the request did not run, so the request's
+            # queued frame must not be sent afterwards.
             self.stream.withdraw(request_id)
         else:
             self.stream.send(CancelRequest(request_id=request_id))
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
@@ -19,8 +19,9 @@
 from pomelobank_schema.generated.peer import Hello
 
 PROTOCOL_VERSION = 1
-# Ten round trips between the regions. An unreachable peer sends no answer, and
-# a request that waits for the connection could run on another target.
+# Time limit of a connection attempt: ten round trips between the regions. An
+# unreachable peer sends no answer, and a request that waits for the connection
+# could run on another target.
 CONNECT_TIMEOUT_S = 0.5
 # Time for which a peer counts as unreachable after a connection attempt timed
 # out. Without this pause, queued requests would try to connect one after the
@@ -208,9 +209,9 @@
     Attributes:
         hello: Frame that introduces this node to its peers.
         connect_limit: Maximum number of streams that the node opens at once.
-            When most of the fleet returns, or when every connection attempt to
-            a partitioned data centre times out, each further handshake only
-            delays the others.
+            Without this limit, the handshakes would delay each other when most
+            of the fleet returns, or when every connection attempt to a
+            partitioned data centre times out.
         on_frame: Handles frames that belong to no request.
         links: The links.
         handshakes: Semaphore that enforces `connect_limit`.
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_server.py
@@ -59,8 +59,9 @@
 # their deadlines. The node rejects them at once, so that one peer cannot
 # exhaust this node's memory with tasks.
 MAX_RUNNING = 1024
-# Maximum number of accepted streams. Each of 1,000 nodes opens one stream; the
-# remaining capacity is for streams that are replaced during a reconnect storm.
+# Maximum number of accepted streams. A mesh of 1,000 nodes needs one stream for
+# each node. The remaining capacity is for a reconnect storm, in which the
+# streams that are being replaced still count.
 MAX_STREAMS = 2048
 # Length of the kernel's queue of unaccepted connections. After most of the
 # fleet has crashed, all returning nodes may know the same few members and
--- a/packages/pomelobank-node/src/pomelobank_node/_stop_delay.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_stop_delay.py
@@ -21,7 +21,7 @@
 
 @attrs.define(eq=False)
 class StopDelay:
-    """Applies the stop order to a node that is shutting down.
+    """Keeps a stopping node's target open while `StopOrder` requires it.
 
     Attributes:
         membership: Provides the states of the mesh's nodes.
--- a/packages/pomelobank-node/src/pomelobank_node/_target_call.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_call.py
@@ -136,8 +136,8 @@
 ) -> ForwardReply:
     headers = end_to_end(response.headers)
     if response.rest is not None or request.method == _HEAD:
-        # The length of a body that is sent in parts, or that a HEAD response
-        # does not contain.
+        # `end_to_end` drops the length, but a body that is sent in parts and
+        # the response to a HEAD request need it.
         length = find_header(response.headers, CONTENT_LENGTH)
         if length is not None:
             headers.append((CONTENT_LENGTH, length))
--- a/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
@@ -86,8 +86,9 @@
         self, announcement: TargetAnnouncement
     ) -> None:
         """Handles an announcement of the target."""
-        # An earlier process of this node may have acknowledged a departure
-        # that only the log remembers.
+        # An earlier process of this node may have acknowledged a departure that
+        # only the log remembers, so the node first waits for the log to be
+        # read.
         await self.departures.ready.wait()
         if self._has_departed(announcement):
             announcement = attrs.evolve(announcement, draining=True)
@@ -176,8 +177,8 @@
         announcing itself, and would send it requests until the target ends.
 
         Raises:
-            LogError: If the departure may not be in the log. The target is
-                drained nevertheless.
+            LogError: If it is not certain that the departure is in the log. The
+                target is drained nevertheless.
         """
         target = self.lease.announcement
         if target is not None and departure.instance == target.instance:
@@ -192,11 +193,13 @@
         await self.departures.persist(departure)
 
     async def drain(self) -> None:
-        """Drains the target until the target starts again.
+        """Marks the target as draining until the target starts again.
+
+        Without an announced target, the drain is not stored in the log.
 
         Raises:
-            LogError: If the drain may not be in the log, so that a restart of
-                this node may undo the drain.
+            LogError: If it is not certain that the drain is in the log; a
+                restart of this node may then undo the drain.
         """
         target = self.lease.announcement
         if target is None:
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_client.py
@@ -96,7 +96,8 @@
                 byte was sent; any other kind after.
         """
         connection = await self._acquire(deadline_s, max_idle_s)
-        # If this process was paused meanwhile, the deadline may have passed.
+        # The deadline may have passed, for example because this process was
+        # paused while it acquired the connection.
         if deadline_s is not None and self.loop.time() >= deadline_s:
             self.release(connection)
             raise RequestError(ErrorKind.DEADLINE_NOT_RUN)
@@ -115,8 +116,9 @@
     ) -> UpstreamConnection:
         now_s = self.loop.time()
         # The most recently used connection is at the end. If its idle time is
-        # too long, the idle time of every other connection is too. They stay in
-        # the pool for requests that allow a longer idle time.
+        # too long, the idle time of every other connection is too. These
+        # connections stay in the pool for requests that allow a longer idle
+        # time.
         while self.idle and now_s - self.idle[-1].idle_since_s < max_idle_s:
             connection = self.idle.pop()
             if connection.is_usable():
@@ -164,7 +166,7 @@
             self.idle.remove(connection)
 
     def close(self) -> None:
-        """Closes every idle connection now, the others after their request."""
+        """Closes idle connections now, and busy ones after their requests."""
         self.closed = True
         for connection in list(self.idle):
             connection.close()
--- a/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_upstream_connection.py
@@ -332,7 +332,8 @@
             transport.resume_reading()
 
     def _on_rest_closed(self, rest: BodyBuffer) -> None:
-        # The connection may already carry another request.
+        # The connection is closed only if it still carries this body; it may
+        # already carry another request.
         if self.rest is rest:
             self.close()
 
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_connection.py
@@ -40,9 +40,9 @@
 )
 
 _logger = logging.getLogger(__name__)
-# Requests of one connection that run concurrently. At the limit the connection
-# stops reading, since one caller could otherwise occupy every slot of an
-# upstream.
+# Maximum number of requests of one connection that run concurrently. At the
+# limit the node stops reading from the connection, which could otherwise occupy
+# every slot of an upstream.
 _MAX_PIPELINED_REQUESTS = 32
 _MAX_HEADERS = 128
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -223,7 +223,7 @@
                 self._start_upload(exchange)
 
     def on_message_complete(self) -> None:
-        """Passes a complete request to the handler."""
+        """Passes a complete short request to the handler; ends a long body."""
         exchange, self.reading = self.reading, None
         if exchange is None or exchange.response is not None:
             return
@@ -251,8 +251,9 @@
         return len(self.exchanges) > 1
 
     def _count_head(self, size: int) -> None:
-        # The parser reports a header only once the header is complete; an
-        # endless header would grow in the parser's memory without a bound.
+        # The parser reports a header only once the header is complete. Without
+        # this check, an endless header would grow in the parser's memory
+        # without a bound.
         self.head_bytes += size
         if self.head_bytes > self.server.limits.head_bytes:
             self._reject(ErrorKind.HEAD_TOO_LARGE)
@@ -361,7 +362,7 @@
         if not exchange.keep_alive:
             return True
         self.closing = self.closing or exchange.response.closes
-        # Later requests of this connection are in flight. Only the last
+        # Later requests of this connection may be in flight. Only the last
         # response may close the connection; if an earlier response closed it,
         # the caller would send the later requests again elsewhere.
         must_close = self.closing or self.server.draining
@@ -451,7 +452,7 @@
             self.transport.close()
 
     def fail_pending(self) -> None:
-        """Ends requests in flight with an error, so that ready responses leave.
+        """Fails unanswered requests, so that ready responses are written.
 
         Responses are written in the order of their requests. Without this
         method a ready response would be lost when the connection closes while
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_ingress.py
@@ -35,7 +35,8 @@
 # Maximum length of a request id or idempotency key. Logs repeat these values,
 # and a longer value is an error of the caller.
 _MAX_ID_BYTES = 256
-# One day; a longer time-out means that the caller used the wrong unit.
+# Maximum time-out that a caller may set: one day. A longer time-out means that
+# the caller used the wrong unit.
 _MAX_TIMEOUT_MS = 86_400_000
 _TRACE_BITS = 128
 _HEAD = "HEAD"
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_messages.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_messages.py
@@ -30,16 +30,18 @@
         idle_timeout_ms: Maximum time that an idle connection stays open.
     """
 
-    # Common servers reject heads above 8 to 64 KiB; larger heads are errors
-    # of the caller or attacks.
+    # Maximum size of a head. Common servers reject heads above 8 to 64 KiB;
+    # larger heads are errors of the caller or attacks.
     head_bytes: int = 64 * 1024
-    # The largest legitimate body, a complete revision history, has tens of
-    # megabytes.
+    # Maximum size of a body. The largest legitimate body, a complete revision
+    # history, has tens of megabytes.
     body_bytes: int = 64 * 1024 * 1024
-    # A head is one or two packets; ten seconds leave time for their TCP
-    # retransmissions.
+    # Time limit for receiving a head. A head is one or two packets, and ten
+    # seconds leave time for their TCP retransmissions.
     head_timeout_ms: int = 10_000
-    # Callers' HTTP libraries commonly keep idle connections for a minute.
+    # Idle time after which the server closes a connection. Callers' HTTP
+    # libraries commonly close idle connections after a minute, so the caller
+    # mostly closes first.
     idle_timeout_ms: int = 75_000
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/callers/_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/callers/_server.py
@@ -13,18 +13,20 @@
 )
 from pomelobank_schema import parse_address
 
-# Connections that the kernel queues until the node accepts them. When a burst
-# of callers fills the queue, the kernel drops their SYN packets and they retry
-# only after a second or more.
+# Maximum number of connections that the kernel queues until the node accepts
+# them. If a burst of callers fills the queue, the kernel drops further SYN
+# packets, and their callers repeat them only after a second or more.
 _LISTEN_BACKLOG = 1024
-# Open connections of callers; well below the node's limit of file descriptors,
-# so that streams to peers and to the target can always be opened.
+# Maximum number of open connections of callers. The limit is well below the
+# node's limit of file descriptors, so that streams to peers and to the target
+# can always be opened.
 _MAX_CONNECTIONS = 3000
-# Interval between checks of the connections' time-outs, which are seconds.
+# Interval between checks of the connections' time-outs. The time-outs are
+# seconds long, so a check may be late by this interval.
 _TIMEOUT_CHECK_INTERVAL_S = 0.5
 _MS_PER_S = 1000
-# Wait for the error responses of a stop to be sent before connections are
-# aborted.
+# Time limit for sending the error responses of a stop, after which the
+# connections are aborted.
 _FINAL_WRITE_TIMEOUT_MS = 50
 
 
@@ -112,7 +114,7 @@
         return True
 
     def drain(self) -> None:
-        """Closes idle connections now and others after their responses."""
+        """Closes idle connections now, and busy ones after their responses."""
         self.draining = True
         for connection in list(self.connections):
             connection.close_if_idle()
--- a/packages/pomelobank-node/src/pomelobank_node/published/_feed.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_feed.py
@@ -38,11 +38,12 @@
 LONG_POLL_MS = 2000
 # Minimum interval between two heartbeats of a reader or relay.
 HEARTBEAT_MS = 1000
-# Pause after a read that brought a new version. When changes follow each other
-# quickly, each read would cost a call although only the last change counts.
+# Pause after a read that brought a new version. Without the pause, each of
+# several changes in quick succession could cost a call, although only the last
+# change counts.
 PAUSE_AFTER_UPDATE_MS = 200
-# A node reads the source itself when the newest read that it knows of is older
-# than this: two heartbeats did not arrive.
+# Age of the newest known read of the source at which a node reads the source
+# itself. At this age, two heartbeats have not arrived.
 MAX_READ_AGE_MS = 2500
 # Extra wait before a node reads the source itself, for each node ahead of it in
 # the reading order but the first, up to `_MAX_RANK_DELAYS` times. Without this
@@ -51,11 +52,12 @@
 # callers waiting for a second.
 RANK_DELAY_MS = 250
 _MAX_RANK_DELAYS = 4
-# Delay of the first read of a node on a network link of 1 Mbit/s, in inverse
-# proportion to the link's rate and at most `_MAX_FIRST_READ_DELAY_MS`. A
-# document of 470 KB takes 1.5 s to read from the source on a link of
-# 2.5 Mbit/s; a peer of the same data centre sends the document compressed, in a
-# tenth of that time. So nodes on slow links leave the first read to others.
+# Delay of the first read of a node on a network link of 1 Mbit/s. The delay is
+# inversely proportional to the link's rate and at most
+# `_MAX_FIRST_READ_DELAY_MS`. A document of 470 KB takes 1.5 s to read from the
+# source on a link of 2.5 Mbit/s; a peer of the same data centre sends the
+# document compressed, in a tenth of that time. So nodes on slow links give
+# their peers time to send the document first.
 FIRST_READ_DELAY_AT_1_MBPS_MS = 8000
 _MAX_FIRST_READ_DELAY_MS = 800
 # Time for which a node whose read failed leaves reading to a peer that can
@@ -65,16 +67,19 @@
 # cannot read. Peers skip the node in the reading order for 2.5 times as long
 # after each report.
 UNABLE_HEARTBEAT_MS = 1000
-# Delay before a node pulls a newer version from a peer of its own data centre;
-# mostly the document is already on its way.
+# Delay before a node that learns of a newer version by gossip pulls that
+# version from a peer of its own data centre. Mostly the document is already on
+# its way, so that no pull is needed.
 PULL_DELAY_MS = 120
 # Delay before a node pulls a version from another data centre, for each peer
 # that comes before this node in the reading order, up to
-# `_MAX_REMOTE_PULL_DELAYS`. One node fetches the document into the data centre
-# and the others get it from that node. Operators expect a change in force
-# within 2 s; the last second remains for that second step. When every node that
-# heard of a remote version pulled it from there, 15 versions of 350 KB took
-# 28 MB of traffic between five data centres of 63 nodes.
+# `_MAX_REMOTE_PULL_DELAYS`. One node fetches the document into the data centre,
+# and the other nodes there get the document from that node. Operators expect a
+# change in force within 2 s. The longest delay is one second, so the last
+# second remains for the distribution within the data centre. When every node
+# that heard of a remote version pulled the document from the other data centre,
+# 15 versions of 350 KB took 28 MB of traffic between five data centres of 63
+# nodes.
 REMOTE_PULL_DELAY_MS = 250
 _MAX_REMOTE_PULL_DELAYS = 4
 _FIRST_RETRY_MS = 50
@@ -250,7 +255,8 @@
 
     def _on_progress(self) -> None:
         # A long response keeps this node from sending heartbeats after its
-        # reads. Without this heartbeat peers would take the node for dead.
+        # reads. Without this heartbeat peers would assume that the node has
+        # failed.
         now_ms = self.clock.now_ms()
         self.last_read_ms = now_ms
         if now_ms - self.last_heartbeat_ms >= HEARTBEAT_MS:
@@ -443,8 +449,9 @@
 
     def _remote_pull_delay_ms(self) -> int:
         now_ms = self.clock.now_ms()
-        # A reader in this data centre is about to get the version from the
-        # source, so this node waits one delay more.
+        # The node waits one delay for each able neighbour that precedes it. If
+        # this data centre has a reader, the node waits one further delay,
+        # because that reader is about to get the version from the source.
         delays = self.order.neighbours_ahead(
             now_ms
         ) + self.order.has_local_reader(now_ms)
--- a/packages/pomelobank-node/src/pomelobank_node/published/_packing.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_packing.py
@@ -5,14 +5,15 @@
 import attrs
 import zstandard
 
-# Level 3 compresses 350 KB in 2 ms. Higher levels take four times as long and
-# save a tenth of the size.
+# Compression level of Zstandard. Level 3 compresses 350 KB in 2 ms; higher
+# levels take four times as long and save a tenth of the size.
 _COMPRESSION_LEVEL = 3
-# A document has some hundred kilobytes. The limit keeps a broken peer from
-# filling this node's memory with one frame.
+# Maximum size of a decompressed document. A document has some hundred
+# kilobytes; the limit keeps a faulty peer from filling this node's memory with
+# one frame.
 _MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
-# Limit of the earlier documents that are kept, compressed, as delta bases.
-# Changes sometimes follow each other quickly, so a peer of the same data centre
+# Maximum number of earlier documents that are kept, compressed, as bases for
+# deltas. When changes follow each other quickly, a peer of the same data centre
 # may be a few versions behind.
 _MAX_KEPT_DOCUMENTS = 4
 
--- a/packages/pomelobank-node/src/pomelobank_node/published/_peer_publisher.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/_peer_publisher.py
@@ -21,8 +21,8 @@
 
 _logger = logging.getLogger(__name__)
 
-# Limit of the peers in its own data centre to which the reader sends a new
-# document. Each of these peers notifies all others there, which pull the
+# Maximum number of peers in its own data centre to which a reader sends a new
+# document. Each of these peers notifies all other nodes there, which pull the
 # document from the first peer that notified them. The reader's network link may
 # have 2.5 Mbit/s, and a document of 350 KB, compressed to a fifth, takes a
 # quarter of a second on it; so four documents arrive within a second.
