--- a/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
@@ -28,8 +28,8 @@
         running: Requests at the target, by object id.
         broken_connections: Requests whose connection broke since the last
             verdict.
-        verdict_task: Task that decides whether these were lost in a crash; None
-            if no connection broke.
+        verdict_task: Task that decides whether the broken connections were lost
+            in a crash of the target; None if no connection broke.
         crashes: Number of detected crashes, for the metrics.
     """
 
