--- a/packages/pomelobank-cli/src/pomelobank_cli/_main.py
+++ b/packages/pomelobank-cli/src/pomelobank_cli/_main.py
@@ -48,8 +48,9 @@
     client = _commands.Client.connect(options.node, options.call_timeout)
     try:
         status = int(options.run(client, options))
-        # If the output's reader, such as `head`, has closed the pipe, only the
-        # flush raises BrokenPipeError.
+        # Output to a pipe is buffered, so short output is written only by this
+        # flush. If the reader, such as `head`, has closed the pipe, the
+        # BrokenPipeError must be raised inside this `try`.
         sys.stdout.flush()
     except BrokenPipeError:
         # The interpreter flushes the output again at its exit; writing to the
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_admission.py
@@ -136,7 +136,11 @@
 
 
 def test_fewer_slots_start_nothing_new() -> None:
-    """Guards against starts above a limit that fell while slots were busy."""
+    """Guards against starting requests above a limit that was lowered.
+
+    Eight requests run when the limit is lowered to four. The queued request
+    must wait until only three of the eight still run.
+    """
     admission = Admission(SHARED, ConcurrencyLimit(8, 8, False), 1000)
     running = [AdmissionRequest(INTERACTIVE, "r", 10_000) for _ in range(8)]
     for request in running:
@@ -163,7 +167,11 @@
 def test_guaranteed_slots_of_a_low_limit(
     limit: int, guaranteed: list[int]
 ) -> None:
-    """Guards against batch work in the last slots of a shedding target."""
+    """Guards against batch work in the last slots of a shedding target.
+
+    A target that sheds requests has a low limit. Slots that are guaranteed to
+    batch work would then leave no slot to more urgent requests.
+    """
     assert [
         SHARED.slots_for(item, limit) for item in TrafficClass
     ] == guaranteed
@@ -190,7 +198,8 @@
 def test_rejection_has_a_retry_delay() -> None:
     """Guards against rejections without a useful retry delay.
 
-    A thousand callers meet a full queue at the same time.
+    A thousand callers meet a full queue at the same time. Without a retry
+    delay, all rejected callers would retry immediately.
     """
     admission = Admission(
         SHARED, ConcurrencyLimit(10, 10, False), 200, random.Random(1)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_bootstrap_contacts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_bootstrap_contacts.py
@@ -101,8 +101,9 @@
     """A thousand nodes start in the same second on an empty log.
 
     If each node appended a record, the configuration's appends would wait
-    behind them, because the log takes only several hundred appends a second.
-    A node appends only if its wait ends before it can read the first record.
+    behind these records, because the log takes only several hundred appends a
+    second. A node appends only if its wait ends before it can read the first
+    record.
     """
     read_ms = 20
     waits = sorted(
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_caller_timeouts.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_caller_timeouts.py
@@ -61,7 +61,12 @@
 
 
 def test_routes_are_kept_apart() -> None:
-    """Guards against time-outs of one route that affect another route."""
+    """Guards against time-outs of one route that affect another route.
+
+    Callers of one route wait for 20 s, callers of another route for 200 ms.
+    Compared with the longer time-out, every request with the shorter one would
+    look like a retry.
+    """
     timeouts = CallerTimeouts()
     timeouts.elapsed_ms("slow", 20_000)
     assert timeouts.elapsed_ms("fast", 200) == 0
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_model.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_model.py
@@ -158,7 +158,7 @@
 
     @classmethod
     def repeating(cls, table: type[ClaimTable] = ClaimTable) -> "Rules":
-        """One node, a caller that waits, and releases appended twice."""
+        """Returns rules with one node, a waiting caller, repeated releases."""
         sendings = (Sending(),) * 3
         system = SystemState(nodes=(Node("a"),), sendings=sendings)
         return cls(table=table, repeats=True, system=system)
@@ -228,7 +228,9 @@
         current = system.sendings[sending]
         waiting = None in current.results
         if not waiting and self.may_contact(system, sending):
-            # The nodes are equal, so the first sending can start at node 0.
+            # The nodes are interchangeable, so the first sending starts at node
+            # 0 only. A start at the other node would add states but no new
+            # cases.
             nodes = set(range(len(system.nodes)))
             nodes = nodes if sending or current.contacted else {0}
             for index in nodes - set(current.contacted):
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_concurrency.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_concurrency.py
@@ -4,7 +4,11 @@
 
 
 def test_cold_start_grows_to_all_slots() -> None:
-    """Guards against a cold target that gets all its slots' load at once."""
+    """Guards against the full load on a target that has just started.
+
+    The limit of such a cold target starts at a quarter of the slots and rises
+    with each response.
+    """
     limit = ConcurrencyLimit.start(20)
     assert (limit.current, limit.reason) == (5, "cold start")
     for _ in range(15):
@@ -33,7 +37,11 @@
 
 
 def test_one_burst_of_shed_requests_is_one_step() -> None:
-    """Guards against one burst of shed requests lowering the limit to 1."""
+    """Guards against a burst of shed requests that lowers the limit repeatedly.
+
+    One overload sheds ten requests of a burst. If each of these requests
+    lowered the limit, the limit would fall far below the target's capacity.
+    """
     limit = ConcurrencyLimit(20, 20, False)
     for _ in range(10):
         limit.on_shed()
@@ -60,7 +68,11 @@
 
 
 def test_mixed_work_does_not_look_slow() -> None:
-    """Guards against a lower limit for a route with long and short work."""
+    """Guards against a lower limit for a route with long and short work.
+
+    One response in ten takes forty times as long as the other responses,
+    although the target is not overloaded.
+    """
     limit = ConcurrencyLimit(10, 10, False)
     for index in range(2000):
         limit.on_response("r", 200 if index % 10 == 0 else 5, limit.current)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_deadline_admission.py
@@ -209,7 +209,12 @@
 
 
 def test_an_overtaken_request_is_dropped_before_its_wait_ends() -> None:
-    """Guards against holding a request that can no longer start in time."""
+    """Guards against holding a request that can no longer start in time.
+
+    A list waits for the only slot when thirty calls arrive that overtake the
+    list. The list must be dropped while its caller can still use another
+    target.
+    """
     admission = DeadlineAdmission(
         ConcurrencyLimit(1, current=1, cold=False), random.Random(1)
     )
@@ -265,7 +270,11 @@
 
 
 def test_brief_calls_are_not_rejected_behind_longer_work() -> None:
-    """Guards against rejected calls, whose callers' work is then lost."""
+    """Guards against rejected calls behind longer work.
+
+    Calls of 30 ms wait behind orders of 160 ms with the same priority. If a
+    call is rejected, the work of the request that made the call is lost.
+    """
     target = Target(slots=3)
     target.load(Work("order", 24, 160, 646, 2000, priority=1), 0, 8000)
     target.load(Work("call", 15, 30, 137, 450, priority=1), 1000, 8000)
@@ -278,7 +287,12 @@
 
 
 def test_brief_requests_do_not_starve_longer_work_of_their_rank() -> None:
-    """Guards against a burst of short requests that takes every slot."""
+    """Guards against short requests that take every slot.
+
+    Look-ups need twice the capacity of the target and have the same priority as
+    reports, which take ten times as long. Excess look-ups must be rejected, so
+    that some reports meet their objective.
+    """
     target = Target(slots=3)
     target.load(Work("report", 5, 300, 900, 3000), 0, 8000)
     target.load(Work("look-up", 200, 30, 137, 450), 1000, 8000)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_lately_gone.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_lately_gone.py
@@ -14,7 +14,8 @@
 
 PERIOD_MS = 500
 TICK_MS = 100
-# Excludes the attempts at members that went long ago.
+# Longer than the simulated time, so that no member polls members that went long
+# ago.
 REJOIN_PERIOD_MS = 600_000
 RESTARTED = "n0"
 
@@ -61,8 +62,9 @@
 def test_a_restarted_node_is_found_without_the_log(count: int) -> None:
     """A node is restarted while the log with the contacts is unavailable.
 
-    The node knows no members. Unless a member polls its old address, the
-    target beside the node gets no requests until the log is back.
+    The restarted node knows no members. Unless a member polls the node's old
+    address, the target beside the node gets no requests until the log is
+    available again.
     """
     polls = _poll_times(_members(count), 0, 5000)
     waits = [b - a for a, b in zip([0, *polls], polls, strict=False)]
@@ -72,8 +74,8 @@
 def test_few_members_poll_a_gone_member() -> None:
     """One of 200 nodes is restarted.
 
-    If all other nodes sent handshakes every half second, the node would have
-    no time to start.
+    If all other nodes polled the restarted node every half second, the node
+    would have no time to start.
     """
     rounds = 5000 // PERIOD_MS
     assert (
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_min_serving_version.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_min_serving_version.py
@@ -10,8 +10,9 @@
 def test_a_restarted_node_waits_for_the_version_it_had() -> None:
     """A node loses its state in a restart while the log does not respond.
 
-    If the node served with the first configuration of an outdated peer, callers
-    would be routed by an older version than before the restart.
+    If the node served callers with the first configuration that it receives,
+    and that came from a peer that is behind, requests would be routed by an
+    older version than before the restart.
     """
     min_version = MinServingVersion(SETTLE_MS)
     min_version.on_peer_version(7, True, 0)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_quarantine.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_quarantine.py
@@ -55,7 +55,11 @@
 
 
 def test_each_further_crash_doubles_the_quarantine() -> None:
-    """Guards against a faulty request that costs one target every minute."""
+    """Guards against a faulty request that crashes a target every minute.
+
+    The first quarantine lasts one minute. If every quarantine were as short,
+    each retry after its end could crash a target.
+    """
     table = QuarantineTable()
     _add_crash(table, FAULTY, now_ms=0)
     _add_crash(table, FAULTY, now_ms=1)
@@ -80,7 +84,8 @@
 def test_quarantine_without_an_isolated_run() -> None:
     """Guards against a faulty request that never runs alone.
 
-    Its retries start beside other requests before the evidence arrives.
+    The request's retries start beside other requests before the evidence
+    arrives.
     """
     table = QuarantineTable()
     for now_ms in (0, 1, 2):
@@ -89,7 +94,10 @@
 
 
 def test_a_normal_end_does_not_lift_a_quarantine() -> None:
-    """Guards against a quarantine that a normal end elsewhere lifts."""
+    """Guards against a quarantine that a normal end elsewhere lifts.
+
+    Two runs of the request crashed their targets; a third run ends normally.
+    """
     table = QuarantineTable()
     _add_crash(table, FAULTY, now_ms=0)
     _add_crash(table, FAULTY, now_ms=1)
@@ -106,7 +114,11 @@
 
 
 def test_fields_of_a_fingerprint_are_delimited() -> None:
-    """Guards against equal fingerprints of different requests."""
+    """Guards against equal fingerprints of different requests.
+
+    Without delimiters, the fields of two requests may join to the same bytes. A
+    quarantine of one request would then reject the other request.
+    """
     first = fingerprint("ab", "GET", b"/x", b"")
     second = fingerprint("a", "bGET", b"/x", b"")
     assert first != second
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_reading_order.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_reading_order.py
@@ -83,7 +83,8 @@
 def test_a_suspect_member_is_no_reader() -> None:
     """The first member of a data centre is suspected of having failed.
 
-    If its role stayed, its neighbours would wait for a dead relay.
+    If the suspect member kept its role, the other members of its data centre
+    would wait for configurations from a dead node.
     """
     entries = fleet(1, 2)
     found = orders(entries)
@@ -96,9 +97,10 @@
 
 
 def test_nodes_on_fast_links_read_first() -> None:
-    """A node on a slow network link fetches whole documents for all nodes.
+    """Guards against a reader on a slow network link.
 
-    Every node would get each new configuration late.
+    A reader fetches whole documents for all nodes. If a node on a slow network
+    link were the reader, every node would get each new configuration late.
     """
     entries = fleet(1, 9)
     entries[4] = attrs.evolve(entries[4], line_mbps=50)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_retries.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_retries.py
@@ -100,7 +100,9 @@
 def test_runs_stay_bounded_when_targets_die_one_by_one() -> None:
     """Guards against requests that run on too many targets.
 
-    Under load, three of four targets die, 200 ms apart.
+    Under load, three of four targets die, 200 ms apart, so the target of a
+    retry may die as well. Without a limit of the attempts, a request could run
+    on every target.
     """
     fleet = Fleet([member(f"t{number}") for number in range(4)])
     fleet.load(400, 3000)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_routing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_routing.py
@@ -69,8 +69,10 @@
 ) -> None:
     """All targets of the upstream with the larger weight are gone.
 
-    If upstreams keep their shares, the smaller upstream is not overloaded by
-    requests that its operator never assigned to that upstream.
+    If `available` is None, the shares are kept, so the smaller upstream is not
+    overloaded by requests that its operator never assigned to that upstream. If
+    `available` omits the larger upstream, all requests move to the smaller
+    upstream, so that callers get responses.
     """
     counts = Counter(
         pick_upstream(route(), available, str(number)) for number in range(1000)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_shutdown_admission.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_shutdown_admission.py
@@ -16,7 +16,11 @@
 def test_a_rejected_caller_retries_after_the_shutdown(
     now_ms: float, retry_after_ms: int
 ) -> None:
-    """Guards against callers that spend all attempts on a stopping node."""
+    """Guards against callers that spend all attempts on a stopping node.
+
+    A caller that retries before the node has ended is rejected again. The retry
+    delay therefore lasts until the end, and at least 200 ms.
+    """
     admission = ShutdownAdmission(shutdown_at_ms=5000)
     assert admission.retry_after_ms(now_ms) == retry_after_ms
 
@@ -37,7 +41,11 @@
     now_ms: float,
     is_accepted: bool,
 ) -> None:
-    """Guards against a request that is cut off while a target runs it."""
+    """Guards against a request that is cut off while a target runs it.
+
+    A stopping node that accepted a request with a deadline after the node's end
+    could end before the target responds.
+    """
     assert (
         ShutdownAdmission(shutdown_at_ms).accepts(remaining_ms, now_ms)
         is is_accepted
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_snapshots.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_snapshots.py
@@ -185,8 +185,9 @@
 def test_a_dead_writer_is_replaced() -> None:
     """The node whose turn comes first dies before it writes a snapshot.
 
-    If no other node wrote one, the log would trim records that no snapshot
-    contains. A node that starts later could then not get the configuration.
+    If no other node wrote a snapshot, the log would trim records that no
+    snapshot contains. A node that starts later could then not get the
+    configuration.
     """
     nodes = schedules(3)
     live = list(nodes)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_two_choices.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_two_choices.py
@@ -88,7 +88,8 @@
 def test_all_targets_fail_for_a_while() -> None:
     """Every target fails all requests for two seconds.
 
-    If all targets were ejected, requests would fail for longer than that.
+    If all targets were ejected, requests would fail for longer than the two
+    seconds.
     """
     fleet = Fleet(FOUR)
     fleet.load(500, 6000)
@@ -145,9 +146,10 @@
 
 
 def test_slow_local_target_causes_overflow() -> None:
-    """The local target becomes slow without being full; a remote one is fast.
+    """A local target becomes slow without being full; a remote target is fast.
 
-    If only a full target caused overflow, callers would wait for the slow one.
+    If only a full target caused overflow, callers would wait for the slow
+    target.
     """
     table = MemberTable(member("entry", upstream=""))
     local, remote = member("local"), member("remote", "burnie")
@@ -197,8 +199,8 @@
 def test_new_target_gets_its_share_slowly() -> None:
     """A cold target joins an upstream under load.
 
-    Without the ramp, the target would get its full share at once and fail to
-    keep up.
+    If its share did not grow step by step, the target would get its full share
+    at once and fail to keep up.
     """
     fleet = Fleet(FOUR[:3])
     new_target = member("t3")
@@ -215,7 +217,8 @@
 def test_ejected_target_is_probed_by_one_request() -> None:
     """A target is ejected after three failures and still fails later.
 
-    If its return were not probed, many requests would fail at once.
+    The end of an ejection does not show that the target has recovered. If one
+    request did not probe the target first, many requests would fail at once.
     """
     table = MemberTable(member("entry", upstream=""))
     table.merge(FOUR)
--- a/packages/pomelobank-node/src/pomelobank_node/published/tests/test_published.py
+++ b/packages/pomelobank-node/src/pomelobank_node/published/tests/test_published.py
@@ -128,8 +128,8 @@
 ) -> None:
     """Documents arrive late, twice, or corrupted.
 
-    If the store applied an older document, the node would send requests to
-    a service that the operator has moved them away from.
+    If the store applied an older document, the node would send requests to a
+    service that the operator has replaced in the newer document.
     """
     store = PublishedStore(decode)
     for data in offered:
@@ -138,7 +138,10 @@
 
 
 def test_without_a_valid_document_the_store_is_not_ready() -> None:
-    """The only document that arrives is corrupted."""
+    """The only document that arrives is corrupted.
+
+    A node without a configuration must not report that it is ready.
+    """
     store = PublishedStore(decode)
     assert not store.offer(b"cut of", "test")
     assert (store.ready, store.unreadable) == (False, 1)
@@ -179,7 +182,10 @@
 
 
 async def test_a_version_announced_twice_is_pulled_once() -> None:
-    """Two digests announce the same new version."""
+    """Two digests announce the same new version.
+
+    A pull for each digest would transfer the document twice.
+    """
     feed = create_feed(Source())
     digest = VersionDigest(version=3, address="far:1")
     feed.receive(digest)
@@ -202,7 +208,10 @@
 
 
 async def test_a_corrupt_push_changes_nothing() -> None:
-    """A peer pushes bytes that cannot be decompressed."""
+    """A peer pushes bytes that cannot be decompressed.
+
+    The node must keep its configuration.
+    """
     feed = create_feed(Source())
     feed.store.offer(b"7", "test")
     feed.receive(DocumentPush(data=b"rubbish", version=9))
@@ -229,7 +238,7 @@
     """All nodes of a data centre hear of a version in another data centre.
 
     If each node pulled the document, the network links between the data centres
-    would carry it once per node.
+    would carry the document once per node.
     """
     remote = member("far", "burnie")
     pulls = []
@@ -271,7 +280,7 @@
 def test_a_reader_that_cannot_read_is_skipped() -> None:
     """The readers report that they cannot read the source.
 
-    If their peers kept waiting for them, no node would read.
+    If the other nodes kept waiting for these readers, no node would read.
     """
     others = [member(f"n{number}", "hobart") for number in range(9)]
     feed = create_feed(Source(), *others)
@@ -406,7 +415,10 @@
 
 
 async def test_a_node_without_the_base_gets_the_whole_document() -> None:
-    """A peer pushes a delta to a version that the node never had."""
+    """A peer pushes a delta to a version that the node never had.
+
+    The node cannot apply the delta and must pull the whole document.
+    """
     reader = create_feed(Source())
     reader.store.decode = first_line
     for version in range(1, 10):
@@ -438,7 +450,10 @@
 def test_corrupt_documents_raise_packing_errors(
     packed: bytes, base: bytes
 ) -> None:
-    """A push arrives corrupted, or the receiver has no or another base."""
+    """A push arrives corrupted, or the receiver has no or another base.
+
+    The error must be a `PackingError`, and no damaged document may result.
+    """
     with pytest.raises(PackingError):
         unpack(packed, base)
 
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_config_store.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_config_store.py
@@ -44,7 +44,11 @@
     ],
 )
 def test_only_the_next_record_is_applied(offset: int, applied: bool) -> None:
-    """A record arrives again, in order, or after missing records."""
+    """A record arrives again, in order, or after missing records.
+
+    If the node applied any but the next record, its configuration would differ
+    from that of other nodes.
+    """
     store = store_with(encode(change("a")))
     assert store.apply(offset, encode(change("b"))) is applied
     assert store.version == 1 + applied
@@ -103,7 +107,10 @@
 
 
 def test_a_snapshot_that_differs_from_the_state_is_counted() -> None:
-    """A snapshot in the log disagrees with the state that replay reached."""
+    """A snapshot in the log disagrees with the state that replay reached.
+
+    The count shows that two nodes derived different states from the log.
+    """
     store = store_with(encode(change("a")))
     matching = snapshot_record(store.state)
     store.apply(1, encode(matching))
@@ -126,7 +133,7 @@
 
 
 def test_recent_records_are_bounded() -> None:
-    """Many or large records would otherwise fill the node's memory."""
+    """Guards against many or large records that fill the node's memory."""
     recent = RecentRecords()
     for offset in range(MAX_RECENT_RECORDS + 10):
         recent.add(offset, b"x")
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_event_loop.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_event_loop.py
@@ -24,7 +24,7 @@
 ) -> None:
     """Guards against a poll system call in each iteration of the loop.
 
-    The standard loop makes this call even if callbacks are ready.
+    The standard loop makes this system call even if callbacks are ready.
     """
     polls = 0
     select = selectors.DefaultSelector.select
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_forwarder.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_forwarder.py
@@ -262,7 +262,11 @@
 
 
 async def test_hedge_does_not_queue_at_a_busy_target() -> None:
-    """Guards against hedges that take slots from first attempts."""
+    """Guards against hedges that take slots from first attempts.
+
+    The other target is busy. The hedge must not queue there, and the first
+    attempt continues.
+    """
     links = UnresponsiveLinks(1, OVERLOADED)
     forwarding = asyncio.create_task(
         _hedging_forwarder(links).forward(_request(True))
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_held_back_bodies.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_held_back_bodies.py
@@ -92,7 +92,10 @@
 
 
 async def test_incomplete_body_does_not_reach_the_target() -> None:
-    """Guards against a truncated order that reaches the target."""
+    """Guards against a truncated order that reaches the target.
+
+    The transfer of the body fails after the first part has arrived.
+    """
     rest = BodyBuffer(lambda _: None, lambda: None)
     request = with_rest(attrs.evolve(REQUEST, body=b""), rest)
     rest.put(BODY[:100])
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_late_binding.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_late_binding.py
@@ -141,7 +141,11 @@
 
 
 async def test_request_whose_target_is_lost_is_retried_once() -> None:
-    """Guards against queue places that use up the retry budget."""
+    """Guards against queue places that use up the retry budget.
+
+    A request waits at several targets, and the target that runs the request is
+    lost. Only the retry after the loss may use the budget.
+    """
     peers = QueueingPeers(lost=True)
     forwarder = _forwarder(peers)
     task = asyncio.create_task(forwarder.forward(_request()))
@@ -171,7 +175,7 @@
 
 
 async def test_order_waits_at_one_target_only() -> None:
-    """Guards against a run-once request that waits at several targets."""
+    """Guards against a non-idempotent request that waits at several targets."""
     peers = QueueingPeers()
     request = attrs.evolve(_request(), idempotent=False)
     reply = await _forwarder(peers).forward(request)
@@ -180,7 +184,11 @@
 
 
 async def test_targets_with_many_slots_are_waited_for_one_at_a_time() -> None:
-    """Guards against queues filled by requests that run on other targets."""
+    """Guards against queues filled by requests that run on other targets.
+
+    Of the twelve slots of a target, one becomes free soon, so a request need
+    not wait at several targets at once.
+    """
     peers = QueueingPeers()
     reply = await _forwarder(peers, slots=12).forward(_request())
     assert reply.error == ErrorKind.OVERLOADED.value
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_log_output.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_log_output.py
@@ -61,7 +61,8 @@
 def test_failures_without_a_line_are_counted_in_the_next_one() -> None:
     """The node rejects thousands of requests per second.
 
-    Writing a line for each would take the CPU time that other requests need.
+    Writing a line for each rejection would take the CPU time that other
+    requests need.
     """
     limiter = LogRateLimiter()
     allowed = sum(limiter.allow_failure(500) for _ in range(1000))
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_outgoing_stream.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_outgoing_stream.py
@@ -216,7 +216,10 @@
 async def test_response_beyond_its_credit_closes_the_stream(
     link: PeerLink, peer: ScriptedPeer
 ) -> None:
-    """Guards against a faulty peer that ignores credit and fills the memory."""
+    """Guards against a faulty peer that ignores credit and fills the memory.
+
+    The peer sends one byte more than the flow-control window allows.
+    """
     task = start(link)
     await peer.expect(ForwardRequest)
     peer.send(ForwardReply(request_id=1, status=200, more=True))
@@ -232,7 +235,7 @@
 ) -> None:
     """Guards against a truncated response that looks complete.
 
-    The owner crashes in the middle of a manual's page history.
+    The owner crashes after it has sent the first part of a response.
     """
     task = start(link)
     await peer.expect(ForwardRequest)
@@ -275,7 +278,12 @@
     accepts: bool,
     expected_frame: type[WireMessage],
 ) -> None:
-    """Guards against a slot reserved for a request that runs elsewhere."""
+    """Guards against a slot reserved for a request that runs elsewhere.
+
+    The owner offers a slot. If the entry node has bound the request to another
+    target by then, the entry node must release the slot; otherwise the slot
+    would stay reserved.
+    """
     task = asyncio.create_task(link.forward(request(), lambda: accepts))
     await peer.expect(ForwardRequest)
     peer.send(SlotOffer(request_id=1))
@@ -288,7 +296,11 @@
 async def test_slot_offered_after_the_request_ended(
     link: PeerLink, peer: ScriptedPeer
 ) -> None:
-    """Guards against a slot offer that crosses the request's cancellation."""
+    """Guards against an offer for a cancelled request that breaks the stream.
+
+    The owner offers the slot before it reads the cancellation. Later requests
+    on the stream must still get their responses.
+    """
     task = asyncio.create_task(link.forward(request(), lambda: True))
     await peer.expect(ForwardRequest)
     task.cancel()
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_peer_server.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_peer_server.py
@@ -128,7 +128,11 @@
 async def test_late_bound_request_runs_after_its_sender_accepts(
     connection: Any,
 ) -> None:
-    """Guards against a late-bound request that runs at several targets."""
+    """Guards against a late-bound request that runs at several targets.
+
+    The owner may run such a request only after the sender has accepted the
+    offered slot. The sender may accept the slot of another target instead.
+    """
     handle_frame(request(1, bind_late=True), connection)
     handle_frame(request(2, bind_late=True), connection)
     await run_pending_tasks()
@@ -143,7 +147,10 @@
 
 
 async def test_slot_accepted_twice_or_never_offered(connection: Any) -> None:
-    """Guards against an unexpected frame that fails the stream's requests."""
+    """Guards against an unexpected frame that fails the stream's requests.
+
+    A faulty peer accepts a slot twice, or a slot that was never offered.
+    """
     handle_frame(request(1, bind_late=True), connection)
     await run_pending_tasks()
     for request_id in (1, 1, 7):
@@ -171,7 +178,7 @@
 
 
 async def test_unexpected_exception_is_answered(connection: Any) -> None:
-    """Guards against a caller that waits in vain after an exception."""
+    """Guards against a caller that gets no response after an exception."""
     connection.owner.error = ValueError("unforeseen")
     connection.owner.release.set()
     handle_frame(request(1), connection)
--- a/packages/pomelobank-node/src/pomelobank_node/tests/test_upstream_client.py
+++ b/packages/pomelobank-node/src/pomelobank_node/tests/test_upstream_client.py
@@ -84,9 +84,9 @@
 ) -> None:
     """Guards against "unknown" for a request that no target has read.
 
-    A target closes an idle connection just before the pool reuses the
-    connection, and the event loop has not read the end of the stream yet. A
-    reorder sent on that connection would be lost.
+    A target closes an idle connection, and the event loop has not yet read the
+    end of the stream when the pool needs a connection. The next request must
+    use a new connection; on the old connection it would be lost.
     """
     target.answers = [OK, OK]
     await pool.request(GET)
@@ -334,7 +334,7 @@
     """Guards against a reorder that is sent on a dropped connection.
 
     A target drops idle connections without closing them. The reorder would be
-    reset, and the counter could not know whether the reorder was placed.
+    reset, and the caller could not know whether the reorder was placed.
     """
     target.answers = [OK, OK]
     await pool.request(GET)
--- a/packages/pomelobank-schema/src/pomelobank_schema/packed_frames.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/packed_frames.py
@@ -21,12 +21,13 @@
     SyncReply,
 )
 
-# Compressing shorter frames saves too few bytes for its processor time.
+# Minimum size of a frame that is compressed. Compressing a shorter frame saves
+# too few bytes to justify the processor time.
 _MIN_PACKED_BYTES = 400
 _COMPRESSION_LEVEL = 1
 _TYPICAL_FRAME_BYTES = 16 * 1024
-# Enough for thousands of members; bounds the memory that a frame of a faulty
-# peer can take.
+# Maximum size of an unpacked frame. The entries of thousands of members fit,
+# and a faulty peer's frame cannot take more memory than this.
 _MAX_UNPACKED_BYTES = 4 * 1024 * 1024
 _PACKED_TYPES = (Gossip, ProbeRequest, ProbeReply, IndirectProbe, SyncReply)
 
--- a/packages/pomelobank-schema/src/pomelobank_schema/tests/test_packed_frames.py
+++ b/packages/pomelobank-schema/src/pomelobank_schema/tests/test_packed_frames.py
@@ -71,7 +71,10 @@
 
 
 def test_packed_frame_inside_a_packed_frame_is_rejected() -> None:
-    """Guards against a faulty peer that nests packed frames endlessly."""
+    """Guards against a faulty peer that nests packed frames in packed frames.
+
+    Each level that the node unpacked would cost it processor time and memory.
+    """
     inner = decode(encode_frame(gossip(194)), peer.KINDS)
     assert isinstance(inner, PackedFrame)
     nested = encode_frame(inner)
