--- a/packages/pomelobank-testing/src/pomelobank_testing/__init__.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins, load and measurement tools of pomelobank."""
+"""Fakes, load and measurement tools of pomelobank."""
 
 from pomelobank_testing._chaos import (
     run as run_chaos,
--- a/packages/pomelobank-testing/src/pomelobank_testing/_demo.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_demo.py
@@ -1,4 +1,4 @@
-"""Demonstrates a whole mesh of real size with embedded stand-ins."""
+"""Demonstrates a whole mesh of real size with embedded fakes."""
 
 import argparse
 import asyncio
--- a/packages/pomelobank-testing/src/pomelobank_testing/_harness.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_harness.py
@@ -1,8 +1,8 @@
-"""Starts nodes as separate processes, with embedded stand-ins.
+"""Starts nodes as separate processes, with embedded fakes.
 
-The stand-ins of the log service and of the targets run in the test's own
-process. The harness serves tests and demonstrations; the system itself starts
-no process.
+The fakes of the log service and of the targets run in the test's own process.
+The harness serves tests and demonstrations; the system itself starts no
+process.
 """
 
 import asyncio
@@ -172,12 +172,12 @@
 
 @attrs.define(eq=False)
 class EmbeddedTarget:
-    """An upstream stand-in in this process that is announced to a node.
+    """A fake upstream in this process that is announced to a node.
 
     Attributes:
-        service: The stand-in.
-        server: The stand-in's HTTP server.
-        announcer: The task that announces the stand-in.
+        service: The fake upstream.
+        server: The fake's HTTP server.
+        announcer: The task that announces the fake.
     """
 
     service: UpstreamService
@@ -186,7 +186,7 @@
 
     @classmethod
     async def start(cls, service: UpstreamService) -> "EmbeddedTarget":
-        """Starts the stand-in's server."""
+        """Starts the fake's server."""
         server = HttpServer(ANY_PORT, service, cancel_on_disconnect=True)
         await server.start()
         return cls(service, server)
@@ -213,11 +213,11 @@
 
     Attributes:
         overrides: Settings that are added to every node's defaults.
-        log: The stand-in of the log service.
+        log: The fake of the log service.
         nodes: Node processes by id.
         targets: Targets by the id of the node beside them.
         folder: Folder for settings files and configuration documents.
-        log_server: The HTTP server of the log's stand-in.
+        log_server: The HTTP server of the fake log service.
         session: The client session for requests to the nodes.
     """
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/_log_service.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_log_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's append-only log service."""
+"""Fake of the platform's append-only log service."""
 
 import asyncio
 
--- a/packages/pomelobank-testing/src/pomelobank_testing/_upstream_service.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_upstream_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of an upstream instance."""
+"""Fake of an upstream instance."""
 
 import asyncio
 import contextlib
