--- a/packages/pomelobank-core/src/pomelobank_core/_claims.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_claims.py
@@ -279,9 +279,11 @@
         return ClaimSeen(claim_id, entry.key, won)
 
     def _release(self, writer: str, release: ClaimRelease) -> list[ClaimEvent]:
-        # Only the holder knows that it will not run the request. If a release
-        # by another writer, or of an earlier claim, freed the key, a second
-        # node could claim and run the request while the holder is paused.
+        # A release counts only if it comes from the holder and names its
+        # present claim, because only the holder knows that it will not run the
+        # request. If another release freed the key while the holder is paused,
+        # a second node could run the request, and the resumed holder would run
+        # it again.
         claim_id = ClaimId(writer, release.number)
         claim = self.claims.get(release.key)
         if claim is None or claim.claim_id != claim_id:
@@ -319,7 +321,11 @@
         return claim
 
     def window_wait_ms(self, now_ms: int) -> int:
-        """Returns how long new keys must wait for a complete window, or 0."""
+        """Returns how long new keys must wait, or 0.
+
+        The log may have trimmed claims whose window has not ended. Until those
+        windows end, a key without a known claim may still be claimed.
+        """
         return max(0, self.complete_from_ms - now_ms)
 
     def capacity_wait_ms(self, now_ms: int, limit: int) -> int:
--- a/packages/pomelobank-core/src/pomelobank_core/_distribution.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_distribution.py
@@ -26,8 +26,9 @@
 _LIVE = frozenset({MemberState.STARTING.value, MemberState.READY.value})
 
 # Delay of a pull after a digest that announces a new version. The digest
-# usually arrives one hop before the pushed records. Without the delay, most
-# records would be sent twice.
+# usually arrives one hop before the pushed records. Without the delay, the node
+# would pull records that are already on their way, and most records would be
+# sent twice.
 PULL_DELAY_MS = 25
 # Time after which an unanswered pull, for example to a dead member, may be
 # repeated.
--- a/packages/pomelobank-core/src/pomelobank_core/_gossip_queue.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_gossip_queue.py
@@ -8,10 +8,10 @@
 from pomelobank_schema.generated.peer import Gossip, MemberEntry, MemberVersion
 
 # Each member sends an entry this many times the logarithm of the fleet's size.
-# With a factor of 2, the epidemic misses a member with a probability below 1 in
-# 10,000, and the comparison of tables corrects the remaining differences. With
-# a factor of 3, gossip of 63 members in five data centres sent as many bytes
-# between the data centres as all requests.
+# With a factor of 2, gossip of an entry fails to reach a member with a
+# probability below 1 in 10,000, and the comparison of tables corrects the rest.
+# With a factor of 3, gossip of 63 members in five data centres took as many
+# bytes between the data centres as all requests did.
 _ENTRY_FACTOR = 2
 # A version is sent less often than an entry. Operators who watch a roll-out
 # read the version, but load balancing does not depend on it, and each change
--- a/packages/pomelobank-core/src/pomelobank_core/_member_digest.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_member_digest.py
@@ -8,8 +8,9 @@
 from pomelobank_core._members import MemberState
 from pomelobank_schema.generated.peer import MemberEntry
 
-# Number of buckets of a table. The hashes of 64 buckets make a request of about
-# 1 KB, and one differing member costs the transfer of a 64th of the table.
+# Number of buckets into which a member table is divided. A request to compare
+# tables carries two 8-byte hashes for each of the 64 buckets, about 1 KB in
+# all. For one differing member, about a 64th of the table is sent.
 BUCKET_COUNT = 64
 # Limits hashes to the positive range of a signed 64-bit integer.
 _MASK = (1 << 63) - 1
--- a/packages/pomelobank-core/src/pomelobank_core/_members.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_members.py
@@ -239,8 +239,9 @@
             return
         self.refutations += 1
         if entry.incarnation > self.own.incarnation:
-            # The clock was set back between two starts, so the peer's entry of
-            # an earlier start has a higher incarnation.
+            # The clock was set back between two starts of this node, so the
+            # entry of this node that the peer holds from an earlier start has a
+            # higher incarnation.
             self.restart_own(entry.incarnation + 1)
             return
         self._set_own(attrs.evolve(self.own, sequence=entry.sequence + 1))
--- a/packages/pomelobank-core/src/pomelobank_core/_target_load.py
+++ b/packages/pomelobank-core/src/pomelobank_core/_target_load.py
@@ -15,7 +15,8 @@
 # seconds cover the cold start of most services and are short compared with a
 # load peak.
 RAMP_MS = 10_000
-# Fraction of its slots that a new or returned target gets at once.
+# Fraction of a new or returned target's slots that nodes use from the start.
+# The fraction then grows to 1 within the ramp.
 RAMP_START_FRACTION = 0.1
 
 
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_window_model.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_claims_window_model.py
@@ -1,10 +1,14 @@
 """Model of the window of a key with trimming and readers that start late.
 
+The window of a key is the time after a claim during which the key cannot be
+claimed again.
+
 Two nodes claim one key. The first node has read the stream from its beginning
-and also appends for other keys. The second node may restart at any time at the
-oldest record in the log. The log may trim a record of any age, also a record
-whose key is still inside its window. Both nodes may lag. A node runs each of
-its claims that wins, unless the node restarted after it made the claim.
+and also appends for other keys. The second node may restart at any time and
+then reads from the oldest record that the log retains. The log may trim a
+record of any age, also a record whose key is still inside its window. Both
+nodes may lag. A node runs each of its claims that wins, unless the node
+restarted after it made the claim.
 """
 
 import functools
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_quarantine.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_quarantine.py
@@ -69,10 +69,10 @@
 
 
 def test_one_lost_node_makes_no_suspect() -> None:
-    """Guards against suspicions after many nodes fail at once.
+    """Guards against suspecting harmless requests when many nodes fail at once.
 
-    A rack of nodes loses its power with hundreds of requests in flight; one
-    lost node does not make a request a suspect.
+    When a rack loses its power, hundreds of requests each lose one node. One
+    lost node must not make a request a suspect; a second one does.
     """
     table = QuarantineTable()
     table.add(Evidence(HARMLESS, POINTS_NODE_LOST), 0)
--- a/packages/pomelobank-core/src/pomelobank_core/tests/test_routing.py
+++ b/packages/pomelobank-core/src/pomelobank_core/tests/test_routing.py
@@ -35,9 +35,10 @@
 def test_a_route_decides_which_methods_are_idempotent(
     repeatable: str, method: str, idempotent: bool
 ) -> None:
-    """A service may run a POST twice safely, or a GET only once.
+    """Some services can safely run a POST twice.
 
-    If only the method decided, such requests would be retried wrongly.
+    Others must not run a GET twice. If the method alone decided, a safe POST
+    would never be retried, and an unsafe GET would be.
     """
     assert is_idempotent(route(repeatable=repeatable), method) is idempotent
 
--- a/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_crash_detector.py
@@ -10,8 +10,8 @@
 from pomelobank_node._requests import ForwardRequest
 from pomelobank_schema import parse_address
 
-# Time-out of the probe connection. A running target accepts within one round
-# trip, since the target is on the same instance.
+# Time-out of the probe connection. The target is on the same instance, so a
+# running target accepts within one round trip, in far less than this time.
 _PROBE_TIMEOUT_S = 0.2
 # Minimum number of connections whose common loss counts as a crash although the
 # probe succeeds. The probe alone misses a crash if the platform restarts the
--- a/packages/pomelobank-node/src/pomelobank_node/_log_output.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_log_output.py
@@ -9,8 +9,9 @@
 # A pipe that polls as writable accepts this many bytes at once; a longer
 # write could block until the reader drains the pipe.
 _MAX_NON_BLOCKING_WRITE_BYTES = 4096
-# Maximum number of chunks that are buffered while the reader is slow. The
-# buffer holds a few seconds of log lines during an incident, or half a MB.
+# Maximum number of chunks that are buffered while the reader is slow. A chunk
+# is a line or a part of a long line. The buffer holds a few seconds of log
+# lines during an incident, or half a MB at lines of about 250 bytes.
 MAX_BUFFERED_CHUNKS = 2000
 
 
--- a/packages/pomelobank-node/src/pomelobank_node/_owner.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_owner.py
@@ -166,10 +166,12 @@
         try:
             return await self._serve(request, offer_slot)
         except RequestError as error:
+            # An overload error for a request that has a wait limit or binds
+            # late is a declined offer. The entry node logs it as one of the
+            # request's attempts, so it is not logged here. All other errors are
+            # logged.
             overloaded = error.kind is ErrorKind.OVERLOADED
             if not overloaded or not (request.max_wait_ms or request.bind_late):
-                # The entry node logs a declined offer as one of the attempts of
-                # its request, so this node does not log the offer again.
                 self._log_failure(request, error)
             return error_reply(request.request_id, error)
 
--- a/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_peer_links.py
@@ -264,8 +264,8 @@
             if link.is_idle(since_s):
                 link.disconnect()
             elif link.is_unused(since_s):
-                # A restarted peer has a new address. Links to old addresses
-                # would accumulate if the node kept them.
+                # A restarted peer may have a new address. If links without a
+                # stream were kept, links to old addresses would accumulate.
                 del self.links[address]
 
     @property
--- a/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
+++ b/packages/pomelobank-node/src/pomelobank_node/_target_watch.py
@@ -113,8 +113,9 @@
 
     def _record_return(self, target: TargetAnnouncement) -> None:
         # Two starts of a target without an instance name are indistinguishable.
-        # If the departure stayed in the log, every restart of this node would
-        # drain the target's next start.
+        # A record of the return therefore cancels the departure. Without that
+        # record, a restarted node would read the departure from the log and
+        # drain the target's present start.
         if self.departures.has_departed(target):
             departure = attrs.evolve(_departure_of(target), returned=True)
             self.departures.add(departure)
--- a/packages/pomelobank-testing/src/pomelobank_testing/_claim_cost.py
+++ b/packages/pomelobank-testing/src/pomelobank_testing/_claim_cost.py
@@ -183,7 +183,8 @@
     numbers = itertools.count()
     async with TestMesh(log=log) as mesh:
         await _start_mesh(mesh, nodes)
-        # Opens the connections, and starts the reader of every claims shard.
+        # Warm-up: the requests open the connections, and those with a key also
+        # make the nodes start the reader of every claims shard.
         for keyed in (False, True):
             phase = Phase(keyed, _WARM_UP_REQUESTS)
             await phase.run(mesh, numbers, 1.0)
